--- a/maddercart/interface.py
+++ b/maddercart/interface.py
@@ -1,56 +1,63 @@
-"""What goes into the decisions and what comes out of them.
+"""The interface of the decision logic: the calls a host makes on a `Balancer` and the decisions it returns.
 
 The host owns the clock, the sockets (or the simulator's wire) and the timers. It makes one call on a
-`Balancer` for each thing that happens and then pulls decisions, one by one, until there is none:
+`Balancer` for each event and then pulls decisions, one at a time, until there are none left:
 
     balancer.take(now, query, ...)
     while (decision := balancer.decide(now)) is not None:
         ...carry it out, in this order...
 
-Calls only update what is known. Times are whole nanoseconds of one clock that only advances; ids are the
-host's and come back unaltered. Everything a decision needs is in the call it follows or in earlier ones.
-
-Calls in
-    learn(now, entries, whole)      the list, or what changed on it; `whole` if everything else is gone
-    list_failed(now, left)          a `follow` did not work, or the subscription broke; `left`: how long until
-                                    what is missed counts as told, if that is known
-    take(now, query, offering, remaining, waited, party, again, most)   to be answered within `remaining`, of
-                                    which `waited` has gone already: the host is behind with its work. `party`
-                                    is whose it is (-1: not told); `again` if its client has asked before; at
-                                    most `most` dispatches, and no more than the settings allow (0: as many)
-    outcome(now, query, upstream, number, duration, outcome, ended, report)   how a dispatch ended
-    may_begin(now, query)           whether a dispatch whose connection has come up may still be written: a
-                                    labelled query's repeat not after its window; if not it never ran (MOOT)
-    left(now, query)                the client has gone; nothing is owed any more
-    probed(now, upstream, ok, duration, report)   how a probe ended
-    woken(now)                      a time that was asked for has come
-
-    renew(now, place, offerings, cold, permits, zones, kinds, quotas)   other settings from now on, whose
-                                    zones and kinds have other numbers: `zones` and `kinds` tell for each
-                                    former one what it is now, -1 if there is none. Queries that are held
-                                    keep the terms they were taken under; what is known of upstreams (drains,
-                                    budgets, ejections, dispatches out) stays. All that the host calls by such
-                                    a number it changes in the same turn
-
-Decisions out: plain tuples, verb first
-    ("dispatch", query, upstream, limit)   send it; after `limit` (0: at the hard stop) it has timed out
+Calls only update the balancer's state. Times are whole nanoseconds of one monotonic clock; ids are chosen by
+the host and returned unchanged. Every decision depends only on the call it follows and on earlier calls.
+
+Calls
+    learn(now, entries, whole)      the upstream list, or changes of it; `whole`: the list is complete, and an
+                                    upstream that is not on it is gone
+    list_failed(now, left)          a `follow` failed, or the subscription broke; `left`: the time until a
+                                    missed change counts as received, if that is known
+    take(now, query, offering, remaining, waited, party, again, most)   a new query, due within `remaining`.
+                                    Of that, `waited` has already passed as the host is behind. `party` is the
+                                    tenant (-1: unknown); `again`: this is a retry by the client; `most`
+                                    limits the dispatches further than the settings do (0: it does not)
+    outcome(now, query, upstream, number, duration, outcome, ended, report)   a dispatch has ended; `number`
+                                    counts the dispatches of the query from 0; `ended`: the query needs no
+                                    further dispatch; `report` is None if the upstream sent none
+    may_begin(now, query)           whether a dispatch whose connection is now up may still be written. The
+                                    repeat of a labelled query may not be after its window; a dispatch that
+                                    was not written ends as MOOT
+    left(now, query)                the client has disconnected; the query needs no answer
+    probed(now, upstream, ok, duration, report)   a probe has ended
+    woken(now)                      the requested timer has fired
+
+    renew(now, place, offerings, cold, permits, zones, kinds, quotas)   applies new settings, in which zones
+                                    and kinds may have other numbers: `zones` and `kinds` give the new number
+                                    for each old one, -1 if it no longer exists. Held queries keep the terms
+                                    under which they were taken, and the state of upstreams (drains, budgets,
+                                    ejections, dispatches in flight) is kept. The host must switch everything
+                                    that it addresses by such a number in the same turn
+
+Decisions: plain tuples, verb first
+    ("dispatch", query, upstream, limit)   send it; it times out after `limit` (0: at the hard stop)
     ("cancel", query, number)              stop waiting for a dispatch
-    ("bounce", query, after)               final: a retry is harmless, best not before `after` (0: unsaid)
-    ("abort", query)                       final: nothing is promised
-    ("probe", upstream)
+    ("bounce", query, after)               final: rejected, safe to retry, preferably not within `after`
+                                           (0: no preference)
+    ("abort", query)                       final: failed, the effect is unknown
+    ("probe", upstream)                    send a health probe
     ("follow",)                            subscribe to changes of the list
-    ("wake", after)                        call `woken` once this much time has passed
-    ("note", text)                         a line for whoever is on call
+    ("wake", after)                        call `woken` once this time has passed
+    ("note", text)                         a log line for the operator
 """
 
 from collections.abc import Sequence
 from typing import Final, NamedTuple
 
+# Durations in nanoseconds.
 SECOND: Final = 1_000_000_000
 MILLISECOND: Final = 1_000_000
 
-# How a dispatch ended. The last column of the table in the wire page is NEVER_RAN. CANCELLED and MOOT tell
-# nothing of the upstream.
+# How a dispatch ended. NEVER_RAN holds the outcomes that guarantee that the upstream did not process the
+# query; it is the last column of the table in the wire page. CANCELLED and MOOT (not written) say nothing
+# about the upstream.
 DONE: Final = 1
 ERROR: Final = 2
 FULL: Final = 3
@@ -61,17 +68,17 @@
 MOOT: Final = 8
 NEVER_RAN: Final = frozenset({FULL, UNREACHABLE, MOOT})
 
-# What the list says of an upstream.
+# The condition of an upstream, according to the list.
 GONE: Final = 0
 READY: Final = 1
 DRAINING: Final = 2
 
-# What a query may suffer.
+# The effect of a query: whether it is idempotent, carries an idempotency key, or must not be repeated.
 REDOABLE: Final = 0
 LABELLED: Final = 1
 IRREVERSIBLE: Final = 2
 
-# Which upstreams drop each other's repeats of a labelled query.
+# The scope within which upstreams deduplicate a labelled query by its idempotency key.
 EVERYWHERE: Final = 0
 SAME_ZONE: Final = 1
 SAME_CELL: Final = 2
@@ -80,7 +87,8 @@
 
 
 class Entry(NamedTuple):
-    """One line of the list; `launched` is 0 when the start was long ago."""
+    """One upstream on the list. `size` is its relative capacity; `launched` is when it started, as an instant
+    of the balancer's clock, or 0 if that was long ago."""
 
     upstream: int
     zone: int
@@ -92,7 +100,11 @@
 
 
 class Report(NamedTuple):
-    """What an upstream says of itself; a figure it does not give is below zero."""
+    """The load that an upstream reports; an unreported field is negative.
+
+    `held` counts the queries in progress, `waiting` those in its queue; `service` is the time that a query
+    takes, in nanoseconds; `rate` is in queries per second.
+    """
 
     held: float
     waiting: float
@@ -101,7 +113,13 @@
 
 
 class Offering(NamedTuple):
-    """One type of query."""
+    """The terms of one type of query.
+
+    `effect` is REDOABLE, LABELLED or IRREVERSIBLE. `group` (EVERYWHERE, SAME_ZONE or SAME_CELL) and `window`
+    (ns) are the scope and the time within which a repeat of a labelled query is deduplicated. `agreed` is the
+    latency target (ns); an answer is worth `earnings` within it and `late_earnings` after it. `zones` and
+    `kinds` restrict the upstreams to which the query may be sent; None: no restriction.
+    """
 
     effect: int
     group: int
@@ -109,29 +127,31 @@
     agreed: int
     earnings: float
     late_earnings: float
-    zones: frozenset[int] | None = None  # the only ones that it may be sent to; None: any
-    kinds: frozenset[int] | None = None  # likewise of machines
+    zones: frozenset[int] | None = None
+    kinds: frozenset[int] | None = None
 
     @property
-    def bound(self) -> bool:
+    def restricted(self) -> bool:
+        """Whether the query may be sent only to certain zones or kinds of machine."""
         return self.zones is not None or self.kinds is not None
 
     def renumbered(self, zones: Sequence[int], kinds: Sequence[int]) -> "Offering":
-        """With other numbers: what each former one is now, -1 if there is none."""
+        """A copy with new zone and kind numbers, each indexed by the old number; -1: no longer exists."""
 
-        def now(places: frozenset[int] | None, given: Sequence[int]) -> frozenset[int] | None:
-            return places and frozenset(given[place] for place in places if given[place] >= 0)
+        def translate(numbers: frozenset[int] | None, new_numbers: Sequence[int]) -> frozenset[int] | None:
+            return numbers and frozenset(new_numbers[old] for old in numbers if new_numbers[old] >= 0)
 
-        return self._replace(zones=now(self.zones, zones), kinds=now(self.kinds, kinds))
+        return self._replace(zones=translate(self.zones, zones), kinds=translate(self.kinds, kinds))
 
-    def open_to(self, entry: Entry) -> bool:
+    def allows(self, entry: Entry) -> bool:
+        """Whether the zone and the kind of an upstream permit this query."""
         return (self.zones is None or entry.zone in self.zones) and (
             self.kinds is None or entry.kind in self.kinds
         )
 
 
 class Place(NamedTuple):
-    """Where this sidecar stands."""
+    """The position of this sidecar: its number among `sidecars` and its zone among `zones`, both from 0."""
 
     number: int
     sidecars: int
@@ -140,7 +160,11 @@
 
 
 class ColdRule(NamedTuple):
-    """The rule on cold upstreams: over any `window`, no more than `multiple` of what one can do."""
+    """The slow-start rule.
+
+    The capacity of an upstream grows from the share `start` to 1 within `ramp` (ns) of its start. Over any
+    `window` (ns) it may get at most `multiple` times the work that it can do by then.
+    """
 
     start: float
     ramp: int
@@ -149,15 +173,25 @@
 
 
 class Permits(NamedTuple):
-    """What the settings allow."""
+    """What the settings allow.
+
+    `dispatches` limits the dispatches of a query, `cancel` allows to cancel them and `probes` to probe
+    upstreams. `come_back` is the longest retry delay (ns) given with a bounce; 0: none is given. `follow`:
+    the host subscribes to the list when told to; otherwise lists are pushed to it. `moving`: the list's
+    sizes are lowered by the load of an upstream, to size / (1 + queries held per core). `streams` is the
+    number of concurrent queries on one connection to an upstream. `crossing` is the cost of a dispatch to
+    another zone, in earnings of a query. `drains`: only draining is binding, whatever the list says later,
+    until the upstream restarts. `stale` is the greatest permitted age of the list (ns); failed calls are
+    retried well within it.
+    """
 
     dispatches: int
     cancel: bool
     probes: bool
     come_back: int
     follow: bool
-    moving: bool = False  # the list's sizes are lowered by what an upstream holds: size / (1 + held a core)
-    streams: int = 1  # queries that a connection to an upstream carries at once
-    crossing: float = 0.0  # what a dispatch to another zone costs, in earnings of a query
-    drains: bool = False  # only draining binds, whatever the list tells later, until a restart
-    stale: int = 1 << 62  # how old the list may be: calls that fail are made again well within that
+    moving: bool = False
+    streams: int = 1
+    crossing: float = 0.0
+    drains: bool = False
+    stale: int = 1 << 62
--- a/maddercart/policy/__init__.py
+++ b/maddercart/policy/__init__.py
@@ -1,10 +1,11 @@
-"""All decisions of maddercart: zone groups with canary-confirmed failover.
+"""The decision logic of maddercart: zone groups with canary-confirmed failover.
 
-How it is called: `maddercart/interface.py`. Mechanisms beside the design (when: docs/design.md):
+The calling convention is documented in `maddercart/interface.py`. Mechanisms beyond the base design
+(docs/design.md says when each applies):
 
- 1. surplus      a query crosses zones only while its own zone cannot answer in time and another can
- 2. early bounce a query is turned away when no upstream that may get it can answer it in time
- 3. paces        the two are drawn by what their kind of machine lately took, and weighed by what they took
- 4. own set      a sidecar uses those upstreams that rank highest in a hash of its number and theirs
- 5. cold ring    a cold upstream is fed by as many sidecars on the ring as it can bear, a query each
+ 1. surplus           a query crosses zones only while its own zone cannot answer in time and another one can
+ 2. early bounce      a query is rejected when no permitted upstream is expected to answer it in time
+ 3. latency weights   two candidates are drawn by their machine kind's mean latency and compared by their own
+ 4. subset            a sidecar uses the upstreams that rank highest in a hash of its number and theirs
+ 5. slow-start ring   a cold upstream's budget is dealt out in whole queries over a hash ring of the sidecars
 """
--- a/maddercart/policy/balancer.py
+++ b/maddercart/policy/balancer.py
@@ -1,4 +1,4 @@
-"""The one object that a host calls: it keeps what is known and makes every decision."""
+"""The object that a host calls: it keeps the state and makes every decision."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -26,324 +26,450 @@
     Place,
     Report,
 )
-from maddercart.policy.answers import Answers
+from maddercart.policy.answers import LatencyStats
 from maddercart.policy.cold_budget import ColdBudget
-from maddercart.policy.group import Group
+from maddercart.policy.group import ZoneGroup
 from maddercart.policy.health import Health
-from maddercart.policy.ledger import Ledger, Lines, Query
-from maddercart.policy.pick import Pick
-from maddercart.policy.roster import Roster
-from maddercart.policy.shares import Shares
+from maddercart.policy.ledger import HeldQueries, PlacementQueue, Query
+from maddercart.policy.pick import Picker
+from maddercart.policy.roster import Registry
+from maddercart.policy.shares import Quotas
 from maddercart.policy.upstream import Upstream
 
 
 class Balancer:
-    SURPLUS = 0.5  # of the shortest agreed time, more by a crossing's price: home over it lets a query cross
-    LATE, UNSURE = 0.9, 0.18  # of the shortest agreed time before a bounce: less where sidecars are many
-    YIELD, LEAST = 0.15, 0.6  # less of it for each better earning offering, which is left that much room
-    BEYOND = 0.35  # at most, for what is beyond its party's share: it earns little, and does not cross
-    UNHEARD = 0.25  # of the shortest agreed time: what an answer is taken to need before any was seen
-    DRAWS = 3  # pairs drawn in each of the first two zones: one odd pair is no full zone
-    # Pauses after failed calls to the list. A change counts as told 6 s after discovery could tell it: the
-    # longest pause, spread by half, and two calls that are waited for must fit into that.
-    FOLLOW_FIRST, FOLLOW_MOST = SECOND // 2, SECOND
-    AFTER, NEWS = 40 * MILLISECOND, 2 * SECOND  # no queue turns sooner; as late as the list may tell
-    TICK = 20 * MILLISECOND  # the group's state is not looked at again sooner than this
-    NEVER = 1 << 62  # later than any clock
+    """Decides on dispatches, answers, probes and the list; `maddercart/interface.py` documents its calls.
+
+    The shares below are fractions of a query's agreed time, unless stated otherwise.
+    """
+
+    # A zone whose expected latency is within this share, plus the price of crossing zones, is used; above it
+    # the next zone is tried.
+    ACCEPTED_SHARE = 0.5
+    # A query is bounced if its expected latency is above this share. It is less by up to the second value
+    # where sidecars are many, as the estimate is less certain there.
+    BOUNCE_SHARE, MANY_SIDECARS_SHARE = 0.9, 0.18
+    # The bounce share is less by the first value for each offering with higher earnings, down to the second.
+    RANK_SHARE, MIN_BOUNCE_SHARE = 0.15, 0.6
+    # The most for a query beyond its tenant's quota: it earns little, and does not cross zones.
+    OVER_QUOTA_SHARE = 0.35
+    INITIAL_SHARE = 0.25  # of the shortest agreed time: the latency assumed before any answer
+    PAIR_DRAWS = 3  # pairs drawn in each of the first two zones: one slow pair does not mean a full zone
+    # Pauses after failed calls to the list. A change counts as received 6 s after discovery could send it:
+    # the longest pause, jittered by half, and two calls with their timeouts must fit into that.
+    FOLLOW_FIRST, FOLLOW_MAX_NS = SECOND // 2, SECOND
+    # The least retry delay of a bounce, as no queue drains sooner; how late the list may report a restart.
+    MIN_RETRY_NS, RESTART_REPORT_NS = 40 * MILLISECOND, 2 * SECOND
+    GROUP_STEP_NS = 20 * MILLISECOND  # the least time between two steps of the zone group
+    NEVER = 1 << 62  # later than any instant of the clock
 
     def __init__(
         self, now: int, seed: int, place: Place, offerings: Sequence[Offering], cold: ColdRule,
         permits: Permits, quotas: Sequence[float] = (),
     ) -> None:  # fmt: skip
-        self.spread = (chance := Random(seed)).uniform
-        self.roster, self.ledger, self.lines = Roster(place, cold, permits.moving), Ledger(), Lines()
-        self.health, self.group = Health(chance), Group(place, chance)
-        self.pick, self.taken = Pick(chance), deque([now - Answers.FRESH] * 32, maxlen=32)
-        self.said: deque[Decision] = deque()
-        self.look_at, self.wake_at = now, self.NEVER  # when there is something to do; the timer that is out
+        self.random_uniform = (random := Random(seed)).uniform
+        self.roster, self.held, self.queue = (
+            Registry(place, cold, permits.moving),
+            HeldQueries(),
+            PlacementQueue(),
+        )
+        self.health, self.group = Health(random), ZoneGroup(place, random)
+        self.picker, self.arrival_times = (
+            Picker(random),
+            deque([now - LatencyStats.MAX_SAMPLE_AGE_NS] * 32, maxlen=32),
+        )
+        self.pending: deque[Decision] = deque()  # decisions that the host has not pulled yet
+        # When `run_due` has something to do; when the timer that the host was asked for fires.
+        self.due_at, self.wake_at = now, self.NEVER
         self.follow_at, self.follow_pause = now if permits.follow else self.NEVER, self.FOLLOW_FIRST
-        self.set(now, place, offerings, cold, permits, quotas)
+        self.configure(now, place, offerings, cold, permits, quotas)
 
-    def set(
+    def configure(
         self, now: int, place: Place, offerings: Sequence[Offering], cold: ColdRule, permits: Permits,
         quotas: Sequence[float],
     ) -> None:  # fmt: skip
-        self.shortest = min((o.agreed for o in offerings), default=SECOND)
-        self.cold, self.shares = ColdBudget(cold, place), Shares(now, quotas, place.sidecars)
-        # A canary's effect: where none is redoable a labelled one, or an ejected upstream had no way back.
-        # One that is bound to a place only where all are: it could not be tried elsewhere.
-        tries = [(o.bound, o.effect) for o in offerings if o.effect != IRREVERSIBLE]
-        self.tried = min(tries, default=(False, REDOABLE))[1]
-        self.answers = Answers(now, int(self.shortest * self.UNHEARD), self.taken)
-        self.pick.kind_paces = self.answers.kind_paces
-        self.offerings, self.permits, self.growth = offerings, permits, place.sidecars**0.5
-        ranks = [sum(p.earnings > o.earnings for p in offerings) for o in offerings]
-        late = self.LATE - self.UNSURE * (1 - 1 / self.growth) ** 2
-        shares = [max(late - self.YIELD * rank, self.LEAST) for rank in ranks]
-        self.rooms = [int(o.agreed * share) for o, share in zip(offerings, shares, strict=True)]
+        self.shortest_agreed = min((offering.agreed for offering in offerings), default=SECOND)
+        self.cold_budget, self.quotas = ColdBudget(cold, place), Quotas(now, quotas, place.sidecars)
+        # The effect of a query that may be a canary: labelled where no offering is redoable, or an ejected
+        # upstream would never return. An offering restricted to zones or kinds is used only where all are, as
+        # its queries could not be tried elsewhere.
+        canary_terms = [
+            (offering.restricted, offering.effect)
+            for offering in offerings
+            if offering.effect != IRREVERSIBLE
+        ]
+        self.canary_effect = min(canary_terms, default=(False, REDOABLE))[1]
+        self.latency = LatencyStats(now, int(self.shortest_agreed * self.INITIAL_SHARE), self.arrival_times)
+        self.picker.mean_by_kind = self.latency.mean_by_kind
+        # The queue at an upstream is assumed to grow by the square root of the number of sidecars for each
+        # dispatch of this one.
+        self.offerings, self.permits, self.queue_growth = offerings, permits, place.sidecars**0.5
+        ranks = [sum(other.earnings > offering.earnings for other in offerings) for offering in offerings]
+        bounce_share = self.BOUNCE_SHARE - self.MANY_SIDECARS_SHARE * (1 - 1 / self.queue_growth) ** 2
+        shares = [max(bounce_share - self.RANK_SHARE * rank, self.MIN_BOUNCE_SHARE) for rank in ranks]
+        # By offering: the expected latency (ns) above which a query is bounced.
+        self.latency_budgets = [
+            int(offering.agreed * share) for offering, share in zip(offerings, shares, strict=True)
+        ]
 
     def renew(
         self, now: int, place: Place, offerings: Sequence[Offering], cold: ColdRule, permits: Permits,
         zones: Sequence[int], kinds: Sequence[int], quotas: Sequence[float] = (),
     ) -> None:  # fmt: skip
-        """Held queries keep their terms; where they were sent is renumbered, or repeats left their group."""
+        """Applies new settings; `zones` and `kinds` give the new number for each old one, -1 if it is gone.
+
+        Held queries keep their terms. The upstreams that they were sent to are renumbered as well, also those
+        that have restarted or left the list, or a repeat could leave its deduplication scope.
+        """
         if permits.follow != self.permits.follow:
             self.follow_at = now if permits.follow else self.NEVER
-        for query in self.ledger.queries.values():
+        for query in self.held.by_number.values():
             query.terms = query.terms.renumbered(zones, kinds)
-        sent = {id(known): known for q in self.ledger.queries.values() for known, _ in q.sent}
-        for known in sent.values():
-            if self.roster.by_id.get(known.entry.upstream) is not known:
-                known.renumber(zones, kinds)
-        self.set(now, place, offerings, cold, permits, quotas)
-        self.roster.place(place, cold, permits.moving)
+        tried = {id(upstream): upstream for q in self.held.by_number.values() for upstream, _ in q.attempts}
+        for upstream in tried.values():
+            if self.roster.by_id.get(upstream.entry.upstream) is not upstream:
+                upstream.renumber(zones, kinds)
+        self.configure(now, place, offerings, cold, permits, quotas)
+        self.roster.configure(place, cold, permits.moving)
         self.roster.renumber(now, zones, kinds)
         self.group.renew(now, place, zones)
-        self.group.lay(self.roster.zones)
-        self.look_at = now
+        self.group.assign_zones(self.roster.ready)
+        self.due_at = now
 
     def learn(self, now: int, entries: Sequence[Entry], whole: bool) -> None:
+        """Applies the upstream list, if `whole`, or changes of it."""
         self.roster.learn(now, entries, whole, self.permits.drains)
-        self.health.ejected = {n: k for n, k in self.health.ejected.items() if self.roster.by_id.get(n) is k}
-        self.group.lay(self.roster.zones)
-        self.follow_pause, self.look_at = min(self.FOLLOW_FIRST, self.permits.stale // 8), now
+        self.health.ejected = {
+            number: upstream
+            for number, upstream in self.health.ejected.items()
+            if self.roster.by_id.get(number) is upstream
+        }
+        self.group.assign_zones(self.roster.ready)
+        self.follow_pause, self.due_at = min(self.FOLLOW_FIRST, self.permits.stale // 8), now
 
     def list_failed(self, now: int, left: int = NEVER) -> None:
+        """Schedules another `follow`; the pause is shorter if only `left` ns remain for it."""
         pause = min(self.follow_pause, max(left // 4, self.FOLLOW_FIRST // 4))
-        self.follow_at = now + int(pause * self.spread(0.5, 1.5))
-        self.follow_pause = min(2 * self.follow_pause, self.FOLLOW_MOST, self.permits.stale)
-        self.look_at = min(self.look_at, self.follow_at)
+        self.follow_at = now + int(pause * self.random_uniform(0.5, 1.5))
+        self.follow_pause = min(2 * self.follow_pause, self.FOLLOW_MAX_NS, self.permits.stale)
+        self.due_at = min(self.due_at, self.follow_at)
 
     def take(
         self, now: int, number: int, offering: int, remaining: int, waited: int = 0, party: int = -1,
         again: bool = False, most: int = 0,
     ) -> None:  # fmt: skip
-        terms, room = self.offerings[offering], self.rooms[offering] - waited  # its answer will wait as long
-        if beyond := self.shares.beyond(now, party, again):
-            room = min(room, int(terms.agreed * self.BEYOND))
-        most, came = min(most or 99, self.permits.dispatches), now - waited
-        agreed, stop = came + min(remaining, terms.agreed), came + remaining
-        self.lines.add(Query(number, terms, room, stop, agreed, most, beyond))
-        self.ledger.queries[number] = self.lines.first[-1]
-        self.taken.append(now)
+        """Takes a new query; `remaining` and `waited` are in nanoseconds.
+
+        `party` is -1 if the tenant is unknown; `most` limits the dispatches (0: only the settings do).
+        """
+        # Its answer will wait for the host as long as the query did.
+        terms, budget = self.offerings[offering], self.latency_budgets[offering] - waited
+        if quota_wait := self.quotas.wait(now, party, again):
+            budget = min(budget, int(terms.agreed * self.OVER_QUOTA_SHARE))
+        most, arrived_at = min(most or 99, self.permits.dispatches), now - waited
+        agreed_at, hard_stop_at = arrived_at + min(remaining, terms.agreed), arrived_at + remaining
+        self.queue.add(Query(number, terms, budget, hard_stop_at, agreed_at, most, quota_wait))
+        self.held.by_number[number] = self.queue.new[-1]
+        self.arrival_times.append(now)
 
     def outcome(
         self, now: int, number: int, upstream: int, shot: int, duration: int, outcome: int, ended: bool,
         report: Report | None,
     ) -> None:  # fmt: skip
-        known, query = self.roster.by_id.get(upstream), self.ledger.queries.get(number)
-        if known is not None and (sent := known.out.pop((number, shot), None)) is not None:
-            known.report = (now, report) if report is not None else known.report
-            canary = bool(query and query.canary and not shot)
-            if outcome == DONE and not known.canary_out:
-                self.give_up(now, known, sent[0])
+        """Records how dispatch `shot` of query `number` ended, after `duration` ns.
+
+        `ended`: the query needs no further dispatch.
+        """
+        target, query = self.roster.by_id.get(upstream), self.held.by_number.get(number)
+        if target is not None and (dispatch := target.in_flight.pop((number, shot), None)) is not None:
+            target.latest_report = (now, report) if report is not None else target.latest_report
+            canary = bool(query and query.is_canary and not shot)
+            if outcome == DONE and not target.canary_in_flight:
+                self.cancel_overtaken(now, target, dispatch[0])
             if outcome not in (CANCELLED, MOOT):
-                self.judge(now, known, outcome, duration, sent, canary)
-            elif canary:  # it tells nothing; waited for, it would be the last one that is ever sent
-                known.canary_out, self.look_at = False, now
+                self.record(now, target, outcome, duration, dispatch, canary)
+            elif canary:  # it has no result: while it counted as in flight, no other canary would be sent
+                target.canary_in_flight, self.due_at = False, now
         if query is not None:
-            query.out.discard(shot)
+            query.in_flight.discard(shot)
             query.suspects.update({shot} if outcome not in NEVER_RAN else ())
             if ended or query.ended:
                 self.close(query)
-            elif not query.out:
-                self.lines.add(query)
+            elif not query.in_flight:
+                self.queue.add(query)
 
-    def may_begin(self, now: int, number: int) -> bool:  # its first byte: a connection may come up late
-        if not (query := self.ledger.queries.get(number)):
+    def may_begin(self, now: int, number: int) -> bool:
+        """Whether the dispatch in flight, whose connection may have come up late, may still be written."""
+        if not (query := self.held.by_number.get(number)):
             return True
-        placed = not query.sent or query.terms.open_to(query.sent[-1][0].entry)  # it may have moved meanwhile
-        return placed and self.ledger.may_repeat(now, query, query.suspects, 1)
+        # The upstream may have moved to another zone or kind meanwhile.
+        permitted = not query.attempts or query.terms.allows(query.attempts[-1][0].entry)
+        return permitted and self.held.may_repeat(now, query, query.suspects, 1)
 
     def left(self, now: int, number: int) -> None:
-        if query := self.ledger.queries.get(number):
+        """The client of a query has disconnected."""
+        if query := self.held.by_number.get(number):
             self.close(query)
 
     def probed(self, now: int, upstream: int, ok: bool, duration: int, report: Report | None) -> None:
-        if known := self.roster.by_id.get(upstream):
-            known.probe_out, known.report = False, (now, report) if report is not None else known.report
-            self.canary_back(now, known, ok and not self.lags(duration, 0))
+        """Records the result of a probe, which took `duration` ns."""
+        if target := self.roster.by_id.get(upstream):
+            target.probe_in_flight, target.latest_report = (
+                False,
+                (now, report) if report is not None else target.latest_report,
+            )
+            self.canary_ended(now, target, ok and not self.is_slow(duration, 0))
 
-    def woken(self, now: int) -> None:  # an earlier timer may have taken this one's place
+    def woken(self, now: int) -> None:
+        """A timer has fired; if it is an earlier one than the one last asked for, that is still pending."""
         self.wake_at = self.NEVER if now >= self.wake_at - MILLISECOND else self.wake_at
 
-    def judge(
-        self, now: int, known: Upstream, outcome: int, duration: int, sent: tuple[int, int], canary: bool
+    def record(
+        self,
+        now: int,
+        upstream: Upstream,
+        outcome: int,
+        duration: int,
+        dispatch: tuple[int, int],
+        canary: bool,
     ) -> None:
-        if outcome == DONE and known.broke and now >= known.warm_at:  # a new process? the list tells later
-            known.unsure, known.warm_at = (now + self.NEWS, known.warm_at), now + self.roster.ramp
-            self.roster.sort_at = now
-        lost = outcome in (UNREACHABLE, RESET) and not known.lives(now)
-        known.broke = outcome != DONE and (known.broke or lost)
-        if good := outcome in (DONE, TIMED_OUT):  # a time-out as long as others' answers is no failure
-            known.samples.append((now, duration, sent[1]))
-            known.ends.append(now)
-            self.answers.add(now, known.entry, duration, known.ends, known.size)
-            good = not self.lags(duration, sent[1])
+        """Records the result of a dispatch; `dispatch` is (sent at, in flight before)."""
+        # An upstream that refused or broke connections and answers again may be a new process, whose restart
+        # the list has not reported yet: it counts as cold until then.
+        if outcome == DONE and upstream.broke and now >= upstream.warm_at:
+            upstream.assumed_cold, upstream.warm_at = (
+                (now + self.RESTART_REPORT_NS, upstream.warm_at),
+                now + self.roster.ramp,
+            )
+            self.roster.refresh_at = now
+        lost = outcome in (UNREACHABLE, RESET) and not upstream.is_alive(now)
+        upstream.broke = outcome != DONE and (upstream.broke or lost)
+        # A timeout counts as a failure only if other answers take much less time.
+        if success := outcome in (DONE, TIMED_OUT):
+            upstream.samples.append((now, duration, dispatch[1]))
+            upstream.answer_times.append(now)
+            self.latency.add(now, upstream.entry, duration, upstream.answer_times, upstream.size)
+            success = not self.is_slow(duration, dispatch[1])
         if canary:
-            return self.canary_back(now, known, good)
-        if outcome == FULL and sent[0] < known.full_at:  # one full queue turned all these away: count one
+            return self.canary_ended(now, upstream, success)
+        # All dispatches sent before a FULL answer met the same full queue: they count as one failure.
+        if outcome == FULL and dispatch[0] < upstream.full_at:
             return
-        known.full_at = now if outcome == FULL else known.full_at
-        if outcome == UNREACHABLE and self.permits.streams > 1 and known.lives(now):
-            # Its connections are taken by others, the next would be refused too. Counted, zones failed over.
-            self.health.postpone(now, known)
-            self.roster.sort_at = now
+        upstream.full_at = now if outcome == FULL else upstream.full_at
+        if outcome == UNREACHABLE and self.permits.streams > 1 and upstream.is_alive(now):
+            # Its connections are in use by other sidecars, so that the next dispatch would be refused too. It
+            # does not count as a failure of its zone, or zones would fail over.
+            self.health.eject(now, upstream)
+            self.roster.refresh_at = now
             return
-        if self.health.judge(now, known, good):
-            self.said.append(("note", f"ejected {known.entry.upstream}"))
-            self.roster.sort_at = self.look_at = now
+        if self.health.record(now, upstream, success):
+            self.pending.append(("note", f"ejected {upstream.entry.upstream}"))
+            self.roster.refresh_at = self.due_at = now
         if outcome in (DONE, UNREACHABLE, RESET, TIMED_OUT):
-            self.group.heard(now, known.entry.zone, outcome == DONE)
-            self.look_at = self.look_at if outcome == DONE else now
-
-    def give_up(self, now: int, known: Upstream, sent: int) -> None:
-        """Where it may go again, what a later one overtook by far: its connection alone is silent."""
-        for (number, shot), (at, then) in list(known.out.items()) if self.permits.cancel else ():
-            query, overtaken = self.ledger.queries[number], at < sent and self.lags(now - at, then)
-            if overtaken and self.ledger.may_repeat(now, query, query.suspects | {shot}):
-                del known.out[number, shot]
-                self.said.append(("cancel", number, shot))
-
-    def canary_back(self, now: int, known: Upstream, good: bool) -> None:
-        if known.canary_out:
-            self.health.canary(now, known, good)
-            self.roster.sort_at = now
-        if self.group.canary_sent and known.entry.zone == self.group.canary_zone:
-            self.group.canary(now, good)
-        self.look_at = now
-
-    def lags(self, duration: int, then: int) -> bool:  # many times slower, and our queue there is not why
-        return duration >= max(self.health.LAG * self.answers.typical * max(1, then), self.shortest // 2)
+            self.group.dispatch_ended(now, upstream.entry.zone, outcome == DONE)
+            self.due_at = self.due_at if outcome == DONE else now
+
+    def cancel_overtaken(self, now: int, upstream: Upstream, sent_at: int) -> None:
+        """Cancels slow dispatches sent before one that was answered, if their queries may be repeated.
+
+        Such a dispatch waits on a silent connection; the upstream itself answers.
+        """
+        for (number, attempt), (earlier, in_flight) in (
+            list(upstream.in_flight.items()) if self.permits.cancel else ()
+        ):
+            query, overtaken = (
+                self.held.by_number[number],
+                earlier < sent_at and self.is_slow(now - earlier, in_flight),
+            )
+            if overtaken and self.held.may_repeat(now, query, query.suspects | {attempt}):
+                del upstream.in_flight[number, attempt]
+                self.pending.append(("cancel", number, attempt))
+
+    def canary_ended(self, now: int, upstream: Upstream, success: bool) -> None:
+        if upstream.canary_in_flight:
+            self.health.canary_ended(now, upstream, success)
+            self.roster.refresh_at = now
+        if self.group.canary_sent and upstream.entry.zone == self.group.canary_zone:
+            self.group.canary_ended(now, success)
+        self.due_at = now
+
+    def is_slow(self, duration: int, in_flight: int) -> bool:
+        """Whether an answer took many times the median, beyond what this sidecar's queue there explains."""
+        return duration >= max(
+            self.health.SLOW_FACTOR * self.latency.median * max(1, in_flight), self.shortest_agreed // 2
+        )
 
     def close(self, query: Query) -> None:
+        """Ends a query, and cancels its dispatches if the settings allow it."""
         if not query.ended and self.permits.cancel:
-            self.said.extend(("cancel", query.number, shot) for shot in query.out)
+            self.pending.extend(("cancel", query.number, attempt) for attempt in query.in_flight)
         query.ended = True
-        if not query.out:
-            self.ledger.queries.pop(query.number, None)
+        if not query.in_flight:
+            self.held.by_number.pop(query.number, None)
 
     def decide(self, now: int) -> Decision | None:
-        if self.look_at <= now:
-            self.look(now)
-        while not self.said and (query := self.lines.next()) is not None:
+        """The next decision to carry out, or None if there is none."""
+        if self.due_at <= now:
+            self.run_due(now)
+        while not self.pending and (query := self.queue.pop()) is not None:
             if not query.ended:
                 return self.place(now, query)
-        if self.said:
-            return self.said.popleft()
-        if self.look_at >= self.wake_at:
+        if self.pending:
+            return self.pending.popleft()
+        if self.due_at >= self.wake_at:
             return None
-        self.wake_at = self.look_at
+        self.wake_at = self.due_at
         return ("wake", self.wake_at - now)
 
-    def look(self, now: int) -> None:  # what is due by the clock
+    def run_due(self, now: int) -> None:
+        """Does what is due by the clock, and sets `due_at`."""
         if now >= self.follow_at:
             self.follow_at = self.NEVER
-            self.said.append(("follow",))
+            self.pending.append(("follow",))
         if (note := self.group.step(now)) is not None:
-            self.said.append(("note", note))
-        self.look_at = min(self.follow_at, max(self.group.due(now), now + self.TICK))
+            self.pending.append(("note", note))
+        self.due_at = min(self.follow_at, max(self.group.next_step_at(now), now + self.GROUP_STEP_NS))
         if self.permits.probes:
-            while (known := self.next_canary(now, None)) is not None:
-                known.probe_out = True
-                self.said.append(("probe", known.entry.upstream))
-            dues = [known.canary_due for known in self.health.ejected.values() if not known.canary_out]
-            self.look_at = min([self.look_at, *(max(due, now + self.health.CANARY_EVERY) for due in dues)])
+            while (upstream := self.next_canary(now, None)) is not None:
+                upstream.probe_in_flight = True
+                self.pending.append(("probe", upstream.entry.upstream))
+            due_times = [
+                upstream.canary_due_at
+                for upstream in self.health.ejected.values()
+                if not upstream.canary_in_flight
+            ]
+            self.due_at = min(
+                [self.due_at, *(max(due_at, now + self.health.CANARY_DELAY_NS) for due_at in due_times)]
+            )
 
     def next_canary(self, now: int, terms: Offering | None) -> Upstream | None:
-        """The upstream that is due a canary: of the zone that the group asks, else one that is ejected. Of
-        those that are open to its offering, if it is a query."""
+        """The upstream that is due a canary: one of the zone that the group tests, else an ejected one.
+
+        `terms` are those of the query that is to be the canary; None: it is a probe.
+        """
         group = self.group
         if group.canary_zone is not None and not group.canary_sent:
-            zone = self.roster.zones[group.canary_zone]
-            zone = [known for known in zone if terms is None or terms.open_to(known.entry)]
-            if may := [known for known in zone if not known.probe_out and self.allows(now, known)]:
+            zone = self.roster.ready[group.canary_zone]
+            zone = [upstream for upstream in zone if terms is None or terms.allows(upstream.entry)]
+            if candidates := [
+                upstream for upstream in zone if not upstream.probe_in_flight and self.allows(now, upstream)
+            ]:
                 group.canary_sent = True
-                return self.pick.better(now, self.pick.pair(may, []), may)
-        for known in self.health.ejected.values():
-            free = not (known.canary_out or known.probe_out) and now >= known.canary_due
-            free = free and (terms is None or terms.open_to(known.entry))
-            if free and known.entry.condition == READY and self.allows(now, known):
-                known.canary_out = True
-                return known
+                return self.picker.better(now, self.picker.pair(candidates, []), candidates)
+        for upstream in self.health.ejected.values():
+            free = (
+                not (upstream.canary_in_flight or upstream.probe_in_flight) and now >= upstream.canary_due_at
+            )
+            free = free and (terms is None or terms.allows(upstream.entry))
+            if free and upstream.entry.condition == READY and self.allows(now, upstream):
+                upstream.canary_in_flight = True
+                return upstream
         return None
 
     def place(self, now: int, query: Query) -> Decision:
-        if not self.ledger.may_send(now, query):
+        """Dispatches a query, or bounces or aborts it."""
+        if not self.held.may_dispatch(now, query):
             return self.answer(now, query, 0)
-        free = query.terms.effect == self.tried and not (self.permits.probes or query.sent)
-        if free and (canary := self.next_canary(now, query.terms)) is not None:
-            query.canary = True
+        may_be_canary = query.terms.effect == self.canary_effect and not (
+            self.permits.probes or query.attempts
+        )
+        if may_be_canary and (canary := self.next_canary(now, query.terms)) is not None:
+            query.is_canary = True
             return self.dispatch(now, query, canary)
         chosen, expected = self.choose(now, query)
-        limit = min(query.room, query.agreed - now)
-        if chosen is None or (expected > limit and not query.suspects and self.ledger.may_bounce(query)):
-            return self.answer(now, query, max(expected - limit, query.beyond))
+        limit = min(query.latency_budget, query.agreed_at - now)
+        if chosen is None or (expected > limit and not query.suspects and self.held.may_bounce(query)):
+            return self.answer(now, query, max(expected - limit, query.quota_wait))
         return self.dispatch(now, query, chosen)
 
     def choose(self, now: int, query: Query) -> tuple[Upstream | None, int]:
-        """The pick in the first zone that can answer in time; else the soonest of the picks."""
-        enough = int(query.terms.agreed * (self.SURPLUS + self.permits.crossing))
-        if now >= self.roster.sort_at:
-            self.roster.sort(now)
-        if now - self.answers.settled > min(SECOND, fresh := self.answers.fresh(now)):
-            self.answers.settle(now)
-        best, soonest, typical = None, 0, self.answers.typical
-        # Where connections are kept for many queries, to one of the next zone alone: else all were taken.
-        zones, few = self.group.zones(now), self.permits.streams > 1
-        if (bound := query.terms.zones) is not None:  # what is bound to a zone does not fail over from it
-            zones = [zone for zone in self.group.order if zone in bound]
-        for place, zone in enumerate(zones):
-            if place and best is not None and (query.beyond or (few and place > len(self.group.home))):
+        """The upstream for a query and the latency expected there (ns).
+
+        It is the pick in the first zone whose expected latency is accepted, else the fastest of all picks.
+        """
+        accepted = int(query.terms.agreed * (self.ACCEPTED_SHARE + self.permits.crossing))
+        if now >= self.roster.refresh_at:
+            self.roster.refresh(now)
+        if now - self.latency.updated_at > min(SECOND, lifetime := self.latency.sample_lifetime(now)):
+            self.latency.update(now)
+        best, fastest, median = None, 0, self.latency.median
+        # Where a connection carries many queries, only one upstream is used of each zone other than the first
+        # and the home zones, and a query goes no further than the zone after home: otherwise these queries
+        # would take all connections.
+        zones, few_connections = self.group.zones(now), self.permits.streams > 1
+        # A query restricted to zones does not fail over from them.
+        if (allowed_zones := query.terms.zones) is not None:
+            zones = [zone for zone in self.group.zone_order if zone in allowed_zones]
+        for position, zone in enumerate(zones):
+            if (
+                position
+                and best is not None
+                and (query.quota_wait or (few_connections and position > len(self.group.home_zones)))
+            ):
                 break
-            abroad = few and zone not in (zones[0], *self.group.home)
-            ready, fed = self.candidates(now, query, zone, abroad)
-            pair, pace = self.pick.pair(ready, fed), self.answers.pace(now, zone, self.roster.zones[zone])
-            for _ in range(self.DRAWS if place < 2 else 1):
-                if not (pair := pair or self.pick.pair(ready, [])):
+            single = few_connections and zone not in (zones[0], *self.group.home_zones)
+            ready, cold = self.candidates(now, query, zone, single)
+            pair, zone_mean = (
+                self.picker.pair(ready, cold),
+                self.latency.zone_mean(now, zone, self.roster.ready[zone]),
+            )
+            for _ in range(self.PAIR_DRAWS if position < 2 else 1):
+                if not (pair := pair or self.picker.pair(ready, [])):
                     break
-                chosen = self.pick.better(now, pair, ready, pair[0] in fed)
-                expected = chosen.expected(now, typical, pace, self.growth, fresh)
-                if chosen in fed:
-                    bare = int(self.work(chosen.entry.kind) / self.cold.share(now, chosen))
-                    expected = max(bare, expected) if chosen.samples else bare  # its own answers count
-                if expected <= enough:
+                chosen = self.picker.better(now, pair, ready, pair[0] in cold)
+                expected = chosen.expected_latency(now, median, zone_mean, self.queue_growth, lifetime)
+                if chosen in cold:
+                    # The work of a query at its reduced capacity, unless its own answers take longer.
+                    cold_work = int(
+                        self.work(chosen.entry.kind) / self.cold_budget.capacity_share(now, chosen)
+                    )
+                    expected = max(cold_work, expected) if chosen.samples else cold_work
+                if expected <= accepted:
                     return chosen, expected
-                if best is None or expected < soonest - self.shortest * (best.entry.zone != zone) // 4:
-                    best, soonest = chosen, expected
-                ready, pair = [known for known in ready if known is not chosen], []
-        return best, soonest
+                if best is None or expected < fastest - self.shortest_agreed * (best.entry.zone != zone) // 4:
+                    best, fastest = chosen, expected
+                ready, pair = [upstream for upstream in ready if upstream is not chosen], []
+        return best, fastest
 
     def candidates(
-        self, now: int, query: Query, zone: int, abroad: bool
+        self, now: int, query: Query, zone: int, single: bool
     ) -> tuple[list[Upstream], list[Upstream]]:
-        """The upstreams of a zone that may get this query: warm ones, and a cold one that is ours to feed."""
-        ready = self.roster.members(now, zone, self.answers.taken, abroad)
-        fed = [known for known in self.roster.cold[zone] if self.allows(now, known)]
-        if query.sent or query.terms.bound:
-            may = [known for known in self.roster.usable[zone] + fed if self.ledger.may_go_to(query, known)]
-            fed = [known for known in fed if known in may]
-            ready = [known for known in ready if known in may] or [known for known in may if known not in fed]
-        return ready, self.pick.one(fed)
-
-    def work(self, kind: int) -> int:  # of a query with no wait: answers are as long as the queue
-        answers, gaps = self.answers, sorted(self.answers.gaps[kind])
-        return max(1, min(answers.quarter, answers.calm, answers.unheard, gaps[len(gaps) // 4]))
-
-    def allows(self, now: int, known: Upstream) -> bool:
-        return self.cold.allows(now, known, self.work(known.entry.kind))
-
-    def dispatch(self, now: int, query: Query, known: Upstream) -> Decision:
-        shot = len(query.sent)
-        if now < known.warm_at:
-            known.sent_cold.append(now)
-        known.out[query.number, shot] = (now, len(known.out))
-        query.sent.append((known, now))
-        query.out.add(shot)
-        return ("dispatch", query.number, known.entry.upstream, query.stop - now)
+        """The upstreams of a zone that may get a query: warm ones, and at most one cold one in its budget."""
+        ready = self.roster.subset(now, zone, self.latency.arrival_times, single)
+        cold = [upstream for upstream in self.roster.cold[zone] if self.allows(now, upstream)]
+        if query.attempts or query.terms.restricted:
+            permitted = [
+                upstream for upstream in self.roster.warm[zone] + cold if self.held.may_go_to(query, upstream)
+            ]
+            cold = [upstream for upstream in cold if upstream in permitted]
+            ready = [upstream for upstream in ready if upstream in permitted] or [
+                upstream for upstream in permitted if upstream not in cold
+            ]
+        return ready, self.picker.draw(cold)
+
+    def work(self, kind: int) -> int:
+        """The work of a query on a kind of machine (ns), without queueing, which is part of the latencies."""
+        latency, intervals = self.latency, sorted(self.latency.intervals_by_kind[kind])
+        return max(
+            1, min(latency.lower_quartile, latency.baseline, latency.initial, intervals[len(intervals) // 4])
+        )
+
+    def allows(self, now: int, upstream: Upstream) -> bool:
+        """Whether the slow-start rule permits one more query."""
+        return self.cold_budget.allows(now, upstream, self.work(upstream.entry.kind))
+
+    def dispatch(self, now: int, query: Query, upstream: Upstream) -> Decision:
+        attempt = len(query.attempts)
+        if now < upstream.warm_at:
+            upstream.cold_dispatch_times.append(now)
+        upstream.in_flight[query.number, attempt] = (now, len(upstream.in_flight))
+        query.attempts.append((upstream, now))
+        query.in_flight.add(attempt)
+        return ("dispatch", query.number, upstream.entry.upstream, query.hard_stop_at - now)
 
     def answer(self, now: int, query: Query, after: int) -> Decision:
-        bounce = self.ledger.may_bounce(query)
+        """Bounces a query if a retry is harmless, with a jittered delay by `after` (ns); else aborts it."""
+        bounce = self.held.may_bounce(query)
         self.close(query)
-        wait = min(max(after, self.AFTER), self.permits.come_back) * self.spread(0.75, 1.0)
-        return ("bounce", query.number, int(wait)) if bounce else ("abort", query.number)
+        delay = min(max(after, self.MIN_RETRY_NS), self.permits.come_back) * self.random_uniform(0.75, 1.0)
+        return ("bounce", query.number, int(delay)) if bounce else ("abort", query.number)
--- a/maddercart/policy/cold_budget.py
+++ b/maddercart/policy/cold_budget.py
@@ -1,30 +1,36 @@
-"""Slow start: how much a cold upstream may be sent by one sidecar of many."""
+"""Slow start: how much this sidecar, one of many, may send to a cold upstream."""
 
 from maddercart.interface import ColdRule, Place
-from maddercart.policy.ranks import mix
+from maddercart.policy.ranks import hash_pair
 from maddercart.policy.upstream import Upstream
 
 
 class ColdBudget:
-    """Guards against all sidecars together pushing a cold upstream over, with no word between them."""
-
-    HEAVY = 1.5  # a query may be heavier than most: a margin of half keeps a sum of few inside
-
-    def __init__(self, cold: ColdRule, place: Place) -> None:
-        self.cold, self.number, self.sidecars = cold, place.number, place.sidecars
-
-    def share(self, now: int, known: Upstream) -> float:  # the least that it can do by now
-        missing = min(max(known.warm_at - now, 0), self.cold.ramp) / max(self.cold.ramp, 1)
-        return 1 - (1 - self.cold.start) * missing
-
-    def allows(self, now: int, known: Upstream, work: int) -> bool:
-        """Dealt out in whole queries along the ring of sidecars, from a hash of its id on: parts add up."""
-        if now < known.spent_until or now - self.cold.window >= known.warm_at:
-            return now >= known.spent_until
-        share = self.share(now - self.cold.window, known) * self.cold.multiple
-        queries = int(share * known.size * self.cold.window / (work * self.HEAVY))
-        place = (self.number - mix(known.entry.upstream, 0)) % self.sidecars
-        part = queries // self.sidecars + (place < queries % self.sidecars)
-        while known.sent_cold and known.sent_cold[0] <= now - self.cold.window:
-            known.sent_cold.popleft()
-        return len(known.sent_cold) < part
+    """Keeps all sidecars together from overloading a cold upstream, without communication between them."""
+
+    # A query may need more work than most: a margin of one half keeps the sum of a few within the budget.
+    WORK_MARGIN = 1.5
+
+    def __init__(self, rule: ColdRule, place: Place) -> None:
+        self.rule, self.sidecar, self.sidecars = rule, place.number, place.sidecars
+
+    def capacity_share(self, now: int, upstream: Upstream) -> float:
+        """The least share of its full capacity that an upstream has at `now`."""
+        missing = min(max(upstream.warm_at - now, 0), self.rule.ramp) / max(self.rule.ramp, 1)
+        return 1 - (1 - self.rule.start) * missing
+
+    def allows(self, now: int, upstream: Upstream, work: int) -> bool:
+        """Whether this sidecar may send one more query, of `work` nanoseconds, to an upstream.
+
+        The budget is dealt out in whole queries along the ring of sidecars, which starts at a hash of the
+        upstream's id, so that the parts of all sidecars add up to it.
+        """
+        if now < upstream.budget_blocked_until or now - self.rule.window >= upstream.warm_at:
+            return now >= upstream.budget_blocked_until
+        share = self.capacity_share(now - self.rule.window, upstream) * self.rule.multiple
+        queries = int(share * upstream.size * self.rule.window / (work * self.WORK_MARGIN))
+        position = (self.sidecar - hash_pair(upstream.entry.upstream, 0)) % self.sidecars
+        part = queries // self.sidecars + (position < queries % self.sidecars)
+        while upstream.cold_dispatch_times and upstream.cold_dispatch_times[0] <= now - self.rule.window:
+            upstream.cold_dispatch_times.popleft()
+        return len(upstream.cold_dispatch_times) < part
--- a/maddercart/policy/ledger.py
+++ b/maddercart/policy/ledger.py
@@ -1,4 +1,4 @@
-"""Queries that are held, what may be promised of them, and the order in which they are placed."""
+"""Held queries, the rules for repeating and bouncing them, and the order in which they are placed."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,58 +9,76 @@
 
 @dataclass(slots=True, eq=False)
 class Query:
+    """A query that has no final answer, or still has a dispatch in flight. Times are in nanoseconds.
+
+    `latency_budget` is the longest expected latency with which it is dispatched, `hard_stop_at` and
+    `agreed_at` are instants, `quota_wait` is the time until its tenant's quota allows it (0: it does).
+    Attempts are numbered by their index in `attempts`; `suspects` are those that ended and may have run.
+    """
+
     number: int
     terms: Offering
-    room: int  # how long an answer may be expected to take
-    stop: int  # after this time nothing may be said
-    agreed: int
-    most: int  # dispatches, as was allowed when it was taken
-    beyond: int = 0  # how long until its party's share allows it
-    sent: list[tuple[Upstream, int]] = field(default_factory=list)  # each dispatch: where and when
-    out: set[int] = field(default_factory=set)  # numbers of the dispatches without an outcome
-    suspects: set[int] = field(default_factory=set)  # those that ended and may have run
-    canary: bool = False  # its first dispatch is one
-    ended: bool = False  # what is still out is no use any more
+    latency_budget: int
+    hard_stop_at: int
+    agreed_at: int
+    max_dispatches: int
+    quota_wait: int = 0
+    attempts: list[tuple[Upstream, int]] = field(default_factory=list)  # (upstream, sent at)
+    in_flight: set[int] = field(default_factory=set)
+    suspects: set[int] = field(default_factory=set)
+    is_canary: bool = False  # its first dispatch is a canary
+    ended: bool = False  # it has its final answer, or its client has left
 
 
-class Ledger:
-    """Keeps the promises made with each offering."""
+class HeldQueries:
+    """The held queries by number, and what the effect of each permits."""
 
     def __init__(self) -> None:
-        self.queries: dict[int, Query] = {}
-
-    def may_send(self, now: int, query: Query) -> bool:  # only ever one is out
-        return not query.out and self.may_repeat(now, query, query.suspects)
-
-    def may_repeat(self, now: int, query: Query, suspects: set[int], made: int = 0) -> bool:  # if these ran
-        if query.ended or now >= query.stop or len(query.sent) - made >= query.most:
+        self.by_number: dict[int, Query] = {}
+
+    def may_dispatch(self, now: int, query: Query) -> bool:
+        """Whether a query may be dispatched now; at most one dispatch is in flight."""
+        return not query.in_flight and self.may_repeat(now, query, query.suspects)
+
+    def may_repeat(self, now: int, query: Query, suspects: set[int], uncounted: int = 0) -> bool:
+        """Whether a query may be sent again if the attempts in `suspects` have run.
+
+        `uncounted` attempts do not count against the limit on dispatches.
+        """
+        if (
+            query.ended
+            or now >= query.hard_stop_at
+            or len(query.attempts) - uncounted >= query.max_dispatches
+        ):
             return False
         if suspects and query.terms.effect == LABELLED:
-            return now - query.sent[min(suspects)][1] < query.terms.window
+            return now - query.attempts[min(suspects)][1] < query.terms.window
         return not suspects or query.terms.effect == REDOABLE
 
-    def may_go_to(self, query: Query, known: Upstream) -> bool:  # never one twice; repeats stay there
-        if any(known is where for where, _ in query.sent) or not query.terms.open_to(known.entry):
+    def may_go_to(self, query: Query, upstream: Upstream) -> bool:
+        """Whether an upstream may get a query: not twice, and a repeat stays in its deduplication scope."""
+        if any(upstream is tried for tried, _ in query.attempts) or not query.terms.allows(upstream.entry):
             return False
         if query.terms.effect != LABELLED or query.terms.group == EVERYWHERE:
             return True
-        place = "zone" if query.terms.group == SAME_ZONE else "cell"
-        suspects = [query.sent[shot][0].entry for shot in query.suspects]
-        return all(getattr(entry, place) == getattr(known.entry, place) for entry in suspects)
+        scope = "zone" if query.terms.group == SAME_ZONE else "cell"
+        suspects = [query.attempts[attempt][0].entry for attempt in query.suspects]
+        return all(getattr(entry, scope) == getattr(upstream.entry, scope) for entry in suspects)
 
     def may_bounce(self, query: Query) -> bool:
-        anywhere = query.terms.effect == LABELLED and query.terms.group == EVERYWHERE
-        return anywhere or query.terms.effect == REDOABLE or not (query.out or query.suspects)
+        """Whether a retry by the client is harmless, so that the query may be bounced rather than aborted."""
+        deduplicated = query.terms.effect == LABELLED and query.terms.group == EVERYWHERE
+        return deduplicated or query.terms.effect == REDOABLE or not (query.in_flight or query.suspects)
 
 
-class Lines:
-    """Queries to be placed: first dispatches, then further ones."""
+class PlacementQueue:
+    """Queries to be placed: those that were never dispatched first, then the others, in order of arrival."""
 
     def __init__(self) -> None:
-        self.first, self.further = deque[Query](), deque[Query]()
+        self.new, self.repeated = deque[Query](), deque[Query]()
 
     def add(self, query: Query) -> None:
-        (self.further if query.sent else self.first).append(query)
+        (self.repeated if query.attempts else self.new).append(query)
 
-    def next(self) -> Query | None:
-        return line.popleft() if (line := self.first or self.further) else None
+    def pop(self) -> Query | None:
+        return queue.popleft() if (queue := self.new or self.repeated) else None
--- a/maddercart/policy/pick.py
+++ b/maddercart/policy/pick.py
@@ -1,4 +1,4 @@
-"""The better of two random ready upstreams."""
+"""Power of two choices: the better of two random ready upstreams."""
 
 from collections.abc import Sequence
 from random import Random
@@ -7,42 +7,55 @@
 from maddercart.policy.upstream import Upstream
 
 
-class Pick:
-    """Of two random ready upstreams, the one with less in flight from us plus reported, by its pace."""
-
-    AGE = 2 * SECOND  # a report counts in full when new and not at all from this age on
-
-    def __init__(self, chance: Random) -> None:
-        self.draw, self.choices, self.kind_paces = chance.random, chance.choices, dict[int, float]()
-
-    def load(self, now: int, known: Upstream, others: Sequence[Upstream] = ()) -> float:
-        if known.report is None and not known.crowd:  # what was never heard of takes the others' mean
-            heard = [self.load(now, other) for other in others if other.report or other.samples]
-            return len(known.out) + (0.0 if known.samples else sum(heard) / max(1, len(heard)))
-        at, report = known.report or (now - self.AGE, None)
-        weight = max(0.0, 1 - (now - at) / self.AGE)
-        told = max(0.0, known.crowd - 1) * known.size * (1 - weight)  # by the list, where that tells it
-        return len(known.out) + told + (weight * max(report.held, report.waiting, 0.0) if report else 0.0)
-
-    def pair(self, ready: list[Upstream], fed: list[Upstream]) -> list[Upstream]:
-        """Two at random, or the cold one that is ours to feed and one at random."""
-        first = fed or (self.one(ready) if len(ready) > 2 else ready)
-        return first + self.one([known for known in ready if known not in first])
-
-    def one(self, known: list[Upstream]) -> list[Upstream]:
-        if len(known) < 2:
-            return known
-        return self.choices(known, [other.size / self.kind_paces[other.entry.kind] for other in known])
+class Picker:
+    """Compares two random ready upstreams by load times latency per query.
+
+    The load is what this sidecar has in flight plus what the upstream reports.
+    """
+
+    # The weight of a report falls from 1 to 0 over this time.
+    REPORT_LIFETIME_NS = 2 * SECOND
+
+    def __init__(self, random: Random) -> None:
+        self.random, self.choices, self.mean_by_kind = random.random, random.choices, dict[int, float]()
+
+    def load(self, now: int, upstream: Upstream, others: Sequence[Upstream] = ()) -> float:
+        """The load of an upstream, in queries; the mean of the others if nothing is known of it."""
+        if upstream.latest_report is None and not upstream.listed_load:
+            known = [self.load(now, other) for other in others if other.latest_report or other.samples]
+            return len(upstream.in_flight) + (0.0 if upstream.samples else sum(known) / max(1, len(known)))
+        received_at, report = upstream.latest_report or (now - self.REPORT_LIFETIME_NS, None)
+        weight = max(0.0, 1 - (now - received_at) / self.REPORT_LIFETIME_NS)
+        listed = max(0.0, upstream.listed_load - 1) * upstream.size * (1 - weight)
+        return (
+            len(upstream.in_flight)
+            + listed
+            + (weight * max(report.held, report.waiting, 0.0) if report else 0.0)
+        )
+
+    def pair(self, ready: list[Upstream], cold: list[Upstream]) -> list[Upstream]:
+        """Two random upstreams, or the cold one (at most one is given) and a random one."""
+        first = cold or (self.draw(ready) if len(ready) > 2 else ready)
+        return first + self.draw([upstream for upstream in ready if upstream not in first])
+
+    def draw(self, upstreams: list[Upstream]) -> list[Upstream]:
+        """A list of one upstream, drawn by size over the mean latency of its kind; empty if none is given."""
+        if len(upstreams) < 2:
+            return upstreams
+        return self.choices(
+            upstreams, [upstream.size / self.mean_by_kind[upstream.entry.kind] for upstream in upstreams]
+        )
 
     def better(self, now: int, pair: list[Upstream], ready: list[Upstream], ahead: int = 0) -> Upstream:
-        """Ties go at random; the first may have so many queries more in flight."""
+        """The less loaded of a pair; ties are random. The first may have `ahead` more queries in flight."""
         if len(pair) < 2:
             return pair[0]
-        first, second = (self.load(now, known, ready) + 1 for known in pair[:2])
-        more = (first - ahead) * self.pace(pair[0]) - second * self.pace(pair[1])
-        return pair[0] if more < 0 or (more == 0 and self.draw() < 0.5) else pair[1]
-
-    def pace(self, known: Upstream) -> float:  # what one query takes there, by its place in our queue
-        took = [(duration + 1) / (then + 1) for _, duration, then in known.samples]
-        took += [self.kind_paces[known.entry.kind]] * (known.FEW - len(took))
-        return sorted(took)[len(took) // 2] / known.size
+        first, second = (self.load(now, upstream, ready) + 1 for upstream in pair[:2])
+        excess = (first - ahead) * self.query_time(pair[0]) - second * self.query_time(pair[1])
+        return pair[0] if excess < 0 or (excess == 0 and self.random() < 0.5) else pair[1]
+
+    def query_time(self, upstream: Upstream) -> float:
+        """The median time per query at an upstream (ns), without this sidecar's own queue there."""
+        times = [(duration + 1) / (in_flight + 1) for _, duration, in_flight in upstream.samples]
+        times += [self.mean_by_kind[upstream.entry.kind]] * (upstream.MIN_SAMPLES - len(times))
+        return sorted(times)[len(times) // 2] / upstream.size
--- a/maddercart/policy/shares.py
+++ b/maddercart/policy/shares.py
@@ -1,24 +1,29 @@
-"""Each tenant's share of the service."""
+"""Quotas of tenants."""
 
 from collections.abc import Sequence
 
 from maddercart.interface import SECOND
 
 
-class Shares:
-    """Which queries are beyond their party's share of the service; each sidecar has an even part of it."""
+class Quotas:
+    """A token bucket for each tenant; every sidecar enforces an equal part of the quota."""
 
-    SOME, SPAN = 8, 2 * SECOND  # saved up: so few are chance, and traffic is uneven over such a time
+    # The capacity of a bucket: this many queries, which may come by chance, and the quota of this time, over
+    # which traffic is uneven.
+    BURST_QUERIES, BURST_NS = 8, 2 * SECOND
 
     def __init__(self, now: int, quotas: Sequence[float], sidecars: int) -> None:
-        self.rates = [quota / sidecars for quota in quotas]  # a second
-        self.left = [(now, self.SOME + rate * self.SPAN / SECOND) for rate in self.rates]
+        self.rates = [quota / sidecars for quota in quotas]  # queries per second; 0: no quota
+        # (updated at, tokens)
+        self.buckets = [(now, self.BURST_QUERIES + rate * self.BURST_NS / SECOND) for rate in self.rates]
 
-    def beyond(self, now: int, party: int, again: bool) -> int:
-        """How long until its share allows one more, 0 if it does; a client's retry is not one more."""
+    def wait(self, now: int, party: int, again: bool) -> int:
+        """Takes a token and returns 0, or returns the time until the next one (ns); a retry takes none."""
         if not 0 <= party < len(self.rates) or (rate := self.rates[party]) <= 0:
             return 0
-        at, left = self.left[party]
-        left = min(self.SOME + rate * self.SPAN / SECOND, left + rate * (now - at) / SECOND)
-        self.left[party] = (now, left - (left >= 1 and not again))
-        return max(0, int((1 - left) / rate * SECOND))
+        updated_at, tokens = self.buckets[party]
+        tokens = min(
+            self.BURST_QUERIES + rate * self.BURST_NS / SECOND, tokens + rate * (now - updated_at) / SECOND
+        )
+        self.buckets[party] = (now, tokens - (tokens >= 1 and not again))
+        return max(0, int((1 - tokens) / rate * SECOND))
