--- a/maddercart/translation.py
+++ b/maddercart/translation.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment, turned once into the arguments of a `Balancer`; both hosts use this."""
+"""Converts the settings of a deployment into the arguments of a `Balancer`, for both hosts."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -7,86 +7,98 @@
 from maddercart.messages.config import OfferingTerms, Settings
 
 EFFECTS = {"free": i.REDOABLE, "guarded": i.LABELLED, "single_shot": i.IRREVERSIBLE}
-WEIGHTS = {"none": 0, "nominal": 1, "rough": 2, "live": 3}  # what the list's figure for an upstream is
-MOST, MOST_SECONDS = 1e12, 1e6  # of any figure, and of a length of time: more than ten days is a mistake
-GROUPS = {"all": i.EVERYWHERE, "zone": i.SAME_ZONE, "cell": i.SAME_CELL}
+# What the size of an upstream on the list means.
+WEIGHT_KINDS = {"none": 0, "nominal": 1, "rough": 2, "live": 3}
+# The largest value of any number, and of a duration: more than about eleven days is taken for a mistake.
+MAX_NUMBER, MAX_SECONDS = 1e12, 1e6
+DEDUPLICATION_SCOPES = {"all": i.EVERYWHERE, "zone": i.SAME_ZONE, "cell": i.SAME_CELL}
 
 
 class SettingsError(ValueError):
-    """A setting is missing, or is not what it should be."""
+    """A setting is missing or invalid."""
 
 
 def nanos(name: str, seconds: float) -> int:
-    return round(number(name, seconds, "length of time", most=MOST_SECONDS) * i.SECOND)
+    """A duration setting in nanoseconds. Raises `SettingsError` if it is negative, NaN or too long."""
+    return round(checked_number(name, seconds, "duration", maximum=MAX_SECONDS) * i.SECOND)
 
 
-def number(name: str, value: float, what: str, least: float = 0.0, most: float = MOST) -> float:
-    """Neither a sign, nor no number, nor a size beyond sense reaches the decisions."""
-    if not least <= value <= most:
-        raise SettingsError(f"setting {name} is no {what}: {value!r}")
+def checked_number(
+    name: str, value: float, what: str, minimum: float = 0.0, maximum: float = MAX_NUMBER
+) -> float:
+    """The value of a setting. Raises `SettingsError` if it is out of range or not a number (NaN)."""
+    if not minimum <= value <= maximum:
+        raise SettingsError(f"setting {name} is not a valid {what}: {value!r}")
     return value
 
 
 def one_of(name: str, table: dict[str, int], word: str) -> int:
     if word not in table:
-        raise SettingsError(f"setting {name} is none of {', '.join(table)}: {word!r}")
+        raise SettingsError(f"setting {name} must be one of {', '.join(table)}, not {word!r}")
     return table[word]
 
 
-def placed(name: str, words: Sequence[str | int] | None, names: Sequence[str]) -> frozenset[int] | None:
-    """Places of zones or kinds, as list entries name them: on sockets by name, on the wire by number. An
-    empty list is open to none, not to all."""
+def numbers_of(name: str, words: Sequence[str | int] | None, names: Sequence[str]) -> frozenset[int] | None:
+    """The numbers of zones or kinds, which the sidecar's settings give by name and the simulator's by number.
+
+    None means no restriction; an empty list permits none.
+    """
     if words is None:
         return None
-    places = {known: place for place, known in enumerate(names)}
-    made = set()
+    number_by_name = {known: number for number, known in enumerate(names)}
+    numbers = set()
     for word in map(str, words):
-        place = places[word] if word in places else int(word) if word.isdecimal() else -1
-        if not 0 <= place < max(1, len(names)):
-            raise SettingsError(f"setting {name} names none of {', '.join(names)}: {word!r}")
-        made.add(place)
-    return frozenset(made)
+        number = number_by_name[word] if word in number_by_name else int(word) if word.isdecimal() else -1
+        if not 0 <= number < max(1, len(names)):
+            raise SettingsError(f"setting {name} must name some of {', '.join(names)}, not {word!r}")
+        numbers.add(number)
+    return frozenset(numbers)
 
 
-def offering(at: str, terms: OfferingTerms, settings: Settings) -> i.Offering:
+def read_offering(prefix: str, terms: OfferingTerms, settings: Settings) -> i.Offering:
+    """An offering from its settings, whose names begin with `prefix`."""
     return i.Offering(
-        effect=one_of(at + "semantics", EFFECTS, terms.semantics),
-        group=one_of(at + "group", GROUPS, terms.group),
-        window=nanos(at + "window", terms.window),
-        agreed=nanos(at + "agreed_time", terms.agreed_time),
-        earnings=number(at + "earnings", terms.earnings, "worth"),
-        late_earnings=number(at + "tardy_earnings", terms.tardy_earnings, "worth"),
-        zones=placed(at + "confined_to", terms.confined_to, settings.zones),
-        kinds=placed(at + "kinds_open", terms.kinds_open, settings.kinds),
+        effect=one_of(prefix + "semantics", EFFECTS, terms.semantics),
+        group=one_of(prefix + "group", DEDUPLICATION_SCOPES, terms.group),
+        window=nanos(prefix + "window", terms.window),
+        agreed=nanos(prefix + "agreed_time", terms.agreed_time),
+        earnings=checked_number(prefix + "earnings", terms.earnings, "value"),
+        late_earnings=checked_number(prefix + "tardy_earnings", terms.tardy_earnings, "value"),
+        zones=numbers_of(prefix + "confined_to", terms.confined_to, settings.zones),
+        kinds=numbers_of(prefix + "kinds_open", terms.kinds_open, settings.kinds),
     )
 
 
-# A fleet whose discovery is down must not ask it without a pause. Where lists are pushed it is the smallest
-# grace there is: what an agent that is back has to tell counts from then on.
-STALE_LEAST, PUSHED_LEAST = i.SECOND // 2, 50 * i.MILLISECOND
+# The least age of the list after which it may count as stale. Asked for: a fleet must not call a discovery
+# service that is down without a pause. Pushed: the smallest grace of a drain that is in use, as changes count
+# as received once the discovery agent is back.
+MIN_ASKED_AGE_NS, MIN_PUSHED_AGE_NS = i.SECOND // 2, 50 * i.MILLISECOND
+
 
+def max_list_age(settings: Settings) -> int:
+    """The greatest permitted age of the list (ns).
 
-def stale(settings: Settings) -> int:
-    """Where lists are pushed, what is not read yet counts as told, so that the grace is all there is; without
-    a figure nobody is held to one."""
+    Where lists are pushed, a change counts as received even if it has not been read, so that only the grace
+    of a drain remains. Without a setting the age is not limited.
+    """
     pushed, rules = settings.discovery == "push", settings.rules
-    ask = nanos("rules.ask_within", rules.ask_within)
+    ask_within = nanos("rules.ask_within", rules.ask_within)
     grace = nanos("rules.stop_sending_within", rules.stop_sending_within)
-    held_to = grace if pushed else ask
-    least = PUSHED_LEAST if pushed else STALE_LEAST
-    return max(held_to, least) if held_to else i.Permits._field_defaults["stale"]
+    limit = grace if pushed else ask_within
+    minimum = MIN_PUSHED_AGE_NS if pushed else MIN_ASKED_AGE_NS
+    return max(limit, minimum) if limit else i.Permits._field_defaults["stale"]
 
 
 def balancer_arguments(settings: Settings) -> dict[str, Any]:
-    """The arguments of `Balancer`, but for the clock and the seed."""
+    """The arguments of `Balancer`, except the clock and the seed. Raises `SettingsError`."""
     limits, rules, zones = settings.limits, settings.rules, max(1, len(settings.zones))
     if not settings.offerings:
         raise SettingsError("setting offerings is empty")
     if not 0 <= settings.zone < zones:
-        raise SettingsError(f"setting zone is none of the {zones} zones: {settings.zone}")
+        raise SettingsError(f"setting zone must be a zone number below {zones}, not {settings.zone}")
     for name in ("zones", "kinds"):
         if len(set(names := getattr(settings, name))) < len(names):
-            raise SettingsError(f"setting {name} names one twice")
+            raise SettingsError(f"setting {name} has a duplicate name")
     nanos("limits.idle_close", limits.idle_close)
     nanos("limits.connect_timeout", limits.connect_timeout)
     come_back = nanos("limits.max_retry_after", limits.max_retry_after) if limits.retry_after else 0
@@ -98,28 +110,30 @@
             zones=zones,
         ),
         "offerings": [
-            offering(f"offerings.{n}.", terms, settings) for n, terms in enumerate(settings.offerings)
+            read_offering(f"offerings.{n}.", terms, settings) for n, terms in enumerate(settings.offerings)
         ],
         "cold": i.ColdRule(
-            start=number("rules.cold_from", rules.cold_from, "share", most=1.0),
+            start=checked_number("rules.cold_from", rules.cold_from, "share", maximum=1.0),
             ramp=nanos("rules.ramp_time", rules.ramp_time),
-            multiple=number("rules.fall_multiple", rules.fall_multiple, "multiple"),
+            multiple=checked_number("rules.fall_multiple", rules.fall_multiple, "multiple"),
             window=nanos("rules.overload_for", rules.overload_for),
         ),
         "quotas": [
-            number(f"parties.{n}.quota_per_s", party.quota_per_s, "rate")
+            checked_number(f"parties.{n}.quota_per_s", party.quota_per_s, "rate")
             for n, party in enumerate(settings.parties)
         ],
         "permits": i.Permits(
-            dispatches=int(number("limits.most_dispatches", limits.most_dispatches, "count", least=1)),
+            dispatches=int(
+                checked_number("limits.most_dispatches", limits.most_dispatches, "count", minimum=1)
+            ),
             cancel=limits.cancel,
             probes=limits.probing,
             come_back=come_back,
-            moving=one_of("weight_kind", WEIGHTS, settings.weight_kind) == WEIGHTS["live"],
-            streams=int(number("limits.max_streams", limits.max_streams, "count", least=1)),
-            crossing=number("charges.cross_zone", settings.charges.cross_zone, "price"),
+            moving=one_of("weight_kind", WEIGHT_KINDS, settings.weight_kind) == WEIGHT_KINDS["live"],
+            streams=int(checked_number("limits.max_streams", limits.max_streams, "count", minimum=1)),
+            crossing=checked_number("charges.cross_zone", settings.charges.cross_zone, "price"),
             follow=settings.discovery == "ask",
-            stale=stale(settings),
+            stale=max_list_age(settings),
             drains=rules.removal_not_binding,
         ),
     }
