--- a/maddercart/sidecar/clock.py
+++ b/maddercart/sidecar/clock.py
@@ -1,10 +1,10 @@
-"""The one clock that decisions go by: real time since some moment, which never steps."""
+"""The monotonic clock that all decisions use."""
 
 from time import monotonic_ns
 
 
 class Clock:
-    """Nanoseconds that only advance. Its readings mean nothing to another machine or process."""
+    """Returns nanoseconds from an arbitrary origin; readings of different machines can't be compared."""
 
     def __call__(self) -> int:
         return monotonic_ns()
--- a/maddercart/sidecar/configuration.py
+++ b/maddercart/sidecar/configuration.py
@@ -1,4 +1,4 @@
-"""Whether a configuration can be used, at the start and again while serving."""
+"""Validates a sidecar's configuration, at the start and on reload."""
 
 from pathlib import Path
 from typing import Any
@@ -10,38 +10,41 @@
 
 
 def arguments(config: Config) -> dict[str, Any]:
-    """Raises `SettingsError`. On sockets, whatever the settings allow, the list comes only when asked for, no
-    probe exists, and a connection carries one query at a time."""
-    made = balancer_arguments(config.settings)
+    """The arguments of `Balancer`, but for the clock and the seed. Raises `SettingsError`.
+
+    Some permits are fixed on sockets, whatever the settings allow: the list must be requested, there are no
+    probes, and a connection carries one query at a time.
+    """
+    balancer = balancer_arguments(config.settings)
     for n, terms in enumerate(config.settings.offerings):
         nanos(f"offerings.{n}.hard_stop", terms.hard_stop)
     names = [terms.name for terms in config.settings.offerings]
     if len(set(names)) < len(names) or "" in names:
-        raise SettingsError("setting offerings has a name twice, or one without a name")
-    permits: Permits = made["permits"]
-    return made | {"permits": permits._replace(follow=True, probes=False, streams=1)}
+        raise SettingsError("setting offerings has a duplicate or empty name")
+    permits: Permits = balancer["permits"]
+    return balancer | {"permits": permits._replace(follow=True, probes=False, streams=1)}
 
 
 def usable(text: bytes) -> Config:
-    """Raises `ValueError` for what can't be used."""
+    """Reads and validates a configuration. Raises `ValueError` if it can't be used."""
     config = read_config(text)
     arguments(config)
     int(config.seed, 16)
-    for at in (config.listen, config.discovery):
-        address(at)
+    for endpoint in (config.listen, config.discovery):
+        address(endpoint)
     if peering(config):
-        for at in (config.peer_listen, config.peers_all, *config.peers):
-            address(at)
+        for endpoint in (config.peer_listen, config.peers_all, *config.peers):
+            address(endpoint)
     return config
 
 
 def peering(config: Config) -> bool:
-    """Whether sidecars may send one another datagrams, and are told where."""
+    """Whether sidecars may send one another datagrams and the addresses for that are set."""
     return config.settings.limits.may_tell and bool(config.peer_listen and config.peers_all and config.peers)
 
 
 def usable_file(path: Path | None) -> Config:
-    """Raises `OSError` as well."""
+    """As `usable`, and raises `OSError` if the file can't be read."""
     if path is None:
-        raise ValueError("none is named: RELAY_CONFIG is not set")
+        raise ValueError("no configuration file: RELAY_CONFIG is not set")
     return usable(path.read_bytes())
--- a/maddercart/sidecar/discovery.py
+++ b/maddercart/sidecar/discovery.py
@@ -1,7 +1,10 @@
-"""Follows the list: one watch at a time, and beside it the one of a service that is being left. When to ask
-again after a failure is the module's to say.
+"""Follows the list of upstreams at discovery, with at most one watch open.
 
-What counts as told, and when, and which code keeps it: docs/told.md."""
+While moving to another service, the watch of the previous one stays open beside the new one. The balancer
+decides when to retry after a failure. Times are nanoseconds of the monotonic clock.
+
+docs/told.md defines when a change counts as told, and names the code that ensures it.
+"""
 
 import logging
 import socket
@@ -18,106 +21,129 @@
 
 log = logging.getLogger(__name__)
 
-# Empty lines come every 2 s, and what a silent watch misses counts as told 6 s after its last line: one line
-# is missing and a third of another, and more than half of the 6 s is left for the calls that make up for it.
+# Longest silence of an open watch. Discovery sends an empty line every 2 s, and changes missed on a silent
+# watch count as told 6 s after its last line. This tolerates one missing line and a third of the next
+# interval, and leaves more than half of the 6 s for the calls that fetch what was missed.
 SILENCE = 2750 * MILLISECOND
-# How long a call may go without a byte: at first, and after others whose time was up. A service that works
-# through calls in turn may take two seconds, and one given up too soon goes to the end of its line. One that
-# hangs as discovery comes back, the longest pause and a call that is answered must fit into 6 s.
-ANSWER_WITHIN, ANSWER_MOST = 2 * SECOND, 3 * SECOND
-LIST_MOST = 6 * SECOND  # from the first byte of a list to its last
-# By the operators' page: what is missed counts as told so long after the last word of a watch that is silent
-# or broken, and what discovery has to tell so long after SIGHUP has named another one.
-MISSED_COUNTS, MOVED_COUNTS = 6 * SECOND, 4 * SECOND
-
-
-class Call:
-    """One conversation with a service."""
-
-    def __init__(self, sock: socket.socket, at: tuple[str, int], version: int | None) -> None:
-        self.at = at
-        self.version = version  # of its list that is known here; None: it is asked for the whole one
+# How long a call may go without data: the initial value, and the limit as it doubles with each call until one
+# is answered. A service that handles calls in turn may take 2 s, and a call abandoned too early rejoins the
+# end of its queue. A call that hangs while discovery recovers, the longest retry pause and an answered call
+# must together fit into 6 s.
+ANSWER_TIMEOUT_NS, MAX_ANSWER_TIMEOUT_NS = 2 * SECOND, 3 * SECOND
+LIST_TIMEOUT_NS = 6 * SECOND  # from the first byte of a list to its last
+# From the operators' documentation: missed changes count as told this long after the last data of a silent or
+# broken watch, and the list of a new service this long after the SIGHUP that names it.
+MISSED_CHANGES_DEADLINE_NS, SERVICE_MOVE_DEADLINE_NS = 6 * SECOND, 4 * SECOND
+
+
+class WatchConnection:
+    """One connection to a discovery service, for an optional request of the whole list and then a watch."""
+
+    def __init__(self, sock: socket.socket, address: tuple[str, int], version: int | None) -> None:
+        self.address = address
+        # Version of the last list received from this service. None: the whole list is requested first.
+        self.version = version
         self.sock = sock
-        self.side = WatchSide(f"{at[0]}:{at[1]}")
+        self.protocol = WatchSide(f"{address[0]}:{address[1]}")
         self.task: Task | None = None
-        self.heard = 0  # last on its watch
-        self.patience = 0  # how long it may go without a byte until its first list has come
-        self.begun = 0  # when the value began that is coming in, 0 if none is
+        self.last_received_at = 0  # on the watch; 0: nothing yet
+        self.read_timeout = 0  # until the first list has arrived
+        self.value_started_at = 0  # when the first byte of an incomplete value arrived; 0: there is none
 
 
 class Discovery:
     def __init__(
-        self, loop: Loop, clock: Callable[[], int], at: tuple[str, int], upstreams: Upstreams,
-        learn: Callable[[Sequence[Listing]], None], failed: Callable[[int | None], None],
+        self, loop: Loop, clock: Callable[[], int], address: tuple[str, int], upstreams: Upstreams,
+        on_listings: Callable[[Sequence[Listing]], None], on_failure: Callable[[int | None], None],
     ) -> None:  # fmt: skip
-        self.loop, self.clock, self.at, self.upstreams = loop, clock, at, upstreams
-        self.learn, self.failed = learn, failed
-        self.failures = 0  # calls and watches that have ended since the list was last heard
-        self.heard_at = clock()  # when it was
+        """Opens no connection before `follow` is called.
+
+        `on_listings` gets all listings of one read. `on_failure` gets the nanoseconds that remain until
+        missed changes count as told, or None if there is no such time or it has passed.
+        """
+        self.loop, self.clock, self.at, self.upstreams = loop, clock, address, upstreams
+        self.on_listings, self.on_failure = on_listings, on_failure
+        self.failures = 0  # connections that have failed since the last listing
+        self.last_heard_at = clock()
         self.following = False
-        self.anew = False  # the list known is not one of this service's, or changes on it will not do
-        self.within = ANSWER_WITHIN
-        self.due: int | None = None  # when what is missed meanwhile counts as told
-        self.current: Call | None = None
-        self.former: Call | None = None  # of the service that is being left, until the new one has spoken
+        # The known list is another service's, or is not sufficient as a base for changes.
+        self.needs_whole_list = False
+        self.answer_timeout = ANSWER_TIMEOUT_NS
+        self.list_due_at: int | None = None  # when missed changes count as told, or None
+        self.current: WatchConnection | None = None
+        # Kept open during a move until the new service has sent its list.
+        self.previous: WatchConnection | None = None
 
     def follow(self) -> None:
-        """Among its fellows in a turn it comes first: a drain counts as soon as it is told."""
+        """Requests the list, unless that is under way.
+
+        The connection has the highest priority in each turn of the loop, because a drain counts as soon as it
+        is told.
+        """
         if not self.following:
             self.following = True
-            self.loop.at(self.clock(), self.begin)
+            self.loop.at(self.clock(), self.open_connection)
 
-    def begin(self) -> None:
+    def open_connection(self) -> None:
         if not self.following or self.current is not None:
             return
         try:
-            call = Call(self.loop.machine.tcp(), self.at, None if self.anew else self.upstreams.version)
+            connection = WatchConnection(
+                self.loop.machine.tcp(), self.at, None if self.needs_whole_list else self.upstreams.version
+            )
         except Exception as error:
-            self.ended(None, error)
+            self.handle_failure(None, error)
             return
-        self.current = call
-        call.task = self.loop.spawn(self.converse(call), FIRST)
-
-    def move(self, at: tuple[str, int]) -> None:
-        """Follows another service from now on. Its versions are its own, so it is asked for the whole list;
-        the one that is known stays in use until that has come."""
-        if at != self.at:
-            log.info("discovery moves", extra={"to": f"{at[0]}:{at[1]}", "seq": self.upstreams.version})
-            self.at = at
-            self.owe(self.clock() + MOVED_COUNTS)
+        self.current = connection
+        connection.task = self.loop.spawn(self.run_connection(connection), FIRST)
+
+    def move(self, address: tuple[str, int]) -> None:
+        """Follows the service at another address from now on.
+
+        Each service has its own list versions, so the whole list is requested. The known list stays in use
+        until that has arrived.
+        """
+        if address != self.at:
+            log.info(
+                "discovery moves", extra={"to": f"{address[0]}:{address[1]}", "seq": self.upstreams.version}
+            )
+            self.at = address
+            self.require_list_by(self.clock() + SERVICE_MOVE_DEADLINE_NS)
             self.begin_anew()
 
-    def owe(self, due: int) -> None:
-        """The list must be heard by then; a later move does not put off what was owed before."""
-        if self.due is None or not self.clock() < self.due < due:
-            self.due = due
+    def require_list_by(self, due_at: int) -> None:
+        """Sets when the list is due, unless an earlier time that has not passed is set already."""
+        if self.list_due_at is None or not self.clock() < self.list_due_at < due_at:
+            self.list_due_at = due_at
 
     def begin_anew(self) -> None:
-        """Asks for the whole list: changes alone do not tell of what was passed over, or placed otherwise.
-        Until it has come the watch that was open goes on: a drain told on it meanwhile counts as well."""
-        self.anew, self.within = True, ANSWER_WITHIN
-        if (call := self.current) is not None:
+        """Requests the whole list: changes alone don't cover what was skipped, or zones and kinds renumbered.
+
+        An open watch goes on until the list has arrived: a drain told on it meanwhile counts too.
+        """
+        self.needs_whole_list, self.answer_timeout = True, ANSWER_TIMEOUT_NS
+        if (connection := self.current) is not None:
             self.current, self.following = None, False
-            if self.former is None and call.version is not None:
-                self.former = call
+            if self.previous is None and connection.version is not None:
+                self.previous = connection
             else:
-                self.end(call)
+                self.close_connection(connection)
         self.follow()
 
     def close(self) -> None:
-        """Asks nothing any more."""
-        for call in (self.current, self.former):
-            if call is not None:
-                self.end(call)
-        self.current = self.former = None
+        """Closes all connections and opens no further ones."""
+        for connection in (self.current, self.previous):
+            if connection is not None:
+                self.close_connection(connection)
+        self.current = self.previous = None
         self.following = False
 
     def news(self) -> bool:
-        """Something has been written here that was not read yet, or the end of it."""
-        for call in (self.current, self.former):
-            if call is not None and call.sock.fileno() >= 0 and call.side.asked:
+        """Whether a connection has unread data, has ended or has failed."""
+        for connection in (self.current, self.previous):
+            if connection is not None and connection.sock.fileno() >= 0 and connection.protocol.asked:
                 try:
-                    call.sock.recv(1, socket.MSG_PEEK)
+                    connection.sock.recv(1, socket.MSG_PEEK)
                 except BlockingIOError:
                     continue
                 except OSError:
@@ -125,114 +151,133 @@
                 return True
         return False
 
-    # -- a conversation
+    # -- one connection
 
-    def end(self, call: Call) -> None:
-        if call.task is not None:
-            self.loop.end(call.task)
+    def close_connection(self, connection: WatchConnection) -> None:
+        if connection.task is not None:
+            self.loop.end(connection.task)
 
-    def converse(self, call: Call) -> Coroutine:
-        """However it ends, the module is told, or nobody would ever ask again."""
-        fault: Exception
+    def run_connection(self, connection: WatchConnection) -> Coroutine:
+        """Runs the watch and reports its end, whatever the error: without the report nothing would retry."""
+        failure: Exception
         try:
             try:
-                yield from self.watch(call)
+                yield from self.watch(connection)
             finally:
-                close(self.loop, call.sock)
+                close(self.loop, connection.sock)
         except Exception as error:
-            fault = error
-        self.ended(call, fault)
-
-    def ended(self, call: Call | None, fault: Exception) -> None:
-        if isinstance(fault, WatchFailed | OSError):
-            which = "former watch" if self.left(call) else "watch"
-            words = {"reason": str(fault), "seq": self.upstreams.version, "unheard_ms": self.unheard_ms()}
-            log.warning(f"{which} of the list ended", extra=words)
+            failure = error
+        self.handle_failure(connection, failure)
+
+    def handle_failure(self, connection: WatchConnection | None, failure: Exception) -> None:
+        """`connection`: None if its socket could not be created."""
+        if isinstance(failure, WatchFailed | OSError):
+            name = "previous watch" if self.is_previous(connection) else "watch"
+            fields = {"reason": str(failure), "seq": self.upstreams.version, "unheard_ms": self.unheard_ms()}
+            log.warning(f"{name} of the upstream list ended", extra=fields)
         else:
-            log.error("watch failed", exc_info=fault)
-        if self.left(call):
-            self.former = None
+            log.error("unexpected error in a watch of the upstream list", exc_info=failure)
+        if self.is_previous(connection):
+            self.previous = None
             return
-        if isinstance(fault, NoList):
-            self.anew = True
-        if call is not None and call.heard:
-            self.owe(call.heard + MISSED_COUNTS)
+        if isinstance(failure, NoList):
+            self.needs_whole_list = True
+        if connection is not None and connection.last_received_at:
+            self.require_list_by(connection.last_received_at + MISSED_CHANGES_DEADLINE_NS)
         self.failures += 1
         self.current, self.following = None, False
-        left = self.due - self.clock() if self.due is not None else 0
-        self.failed(left if left > 0 else None)
+        remaining = self.list_due_at - self.clock() if self.list_due_at is not None else 0
+        self.on_failure(remaining if remaining > 0 else None)
 
     def unheard_ms(self) -> int:
-        """How long nothing has been heard of the list."""
-        return (self.clock() - self.heard_at) // MILLISECOND
-
-    def left(self, call: Call | None) -> bool:
-        return call is not None and call is self.former
-
-    def watch(self, call: Call) -> Generator[Wait, int, None]:
-        """Ends by an exception only."""
-        call.patience = self.within
-        side, until = call.side, self.clock() + call.patience
-        self.within = min(2 * self.within, ANSWER_MOST)  # unless it answers
-        if not (yield from connect(self.loop, call.sock, call.at, until)):
-            raise WatchFailed("the connection never came up")
-        while call.version is None:
-            yield from self.ask(call, "/api/targets", until)
-            while not side.ended:
-                yield from self.receive(call, until)
-        yield from self.ask(call, f"/api/targets?watch=1&after={call.version}", until)
-        while not side.ended:
-            yield from self.receive(call, until)
-            call.heard = self.heard_at = self.clock()
-            until = call.heard + SILENCE
+        """Milliseconds since the last data from discovery."""
+        return (self.clock() - self.last_heard_at) // MILLISECOND
+
+    def is_previous(self, connection: WatchConnection | None) -> bool:
+        return connection is not None and connection is self.previous
+
+    def watch(self, connection: WatchConnection) -> Generator[Wait, int, None]:
+        """Requests the list, then reads changes; returns only by an exception."""
+        connection.read_timeout = self.answer_timeout
+        protocol, deadline = connection.protocol, self.clock() + connection.read_timeout
+        self.answer_timeout = min(2 * self.answer_timeout, MAX_ANSWER_TIMEOUT_NS)  # reset by the next listing
+        if not (yield from connect(self.loop, connection.sock, connection.address, deadline)):
+            raise WatchFailed("connecting to discovery timed out")
+        while connection.version is None:
+            yield from self.send_request(connection, "/api/targets", deadline)
+            while not protocol.ended:
+                yield from self.receive(connection, deadline)
+        yield from self.send_request(connection, f"/api/targets?watch=1&after={connection.version}", deadline)
+        while not protocol.ended:
+            yield from self.receive(connection, deadline)
+            connection.last_received_at = self.last_heard_at = self.clock()
+            deadline = connection.last_received_at + SILENCE
         raise WatchFailed("discovery ended the watch")
 
-    def ask(self, call: Call, target: str, until: int) -> Generator[Wait, int, None]:
-        if not (yield from write(call.sock, call.side.request(target), until)):
-            raise WatchFailed("discovery takes no request")
+    def send_request(
+        self, connection: WatchConnection, target: str, deadline: int
+    ) -> Generator[Wait, int, None]:
+        if not (yield from write(connection.sock, connection.protocol.request(target), deadline)):
+            raise WatchFailed("sending the request to discovery timed out")
+
+    def receive(self, connection: WatchConnection, deadline: int) -> Generator[Wait, int, None]:
+        """Reads once and handles the values that became complete.
 
-    def receive(self, call: Call, until: int) -> Generator[Wait, int, None]:
-        if call.begun:  # a list without end is no news, and a long one may take its time
-            until = min(self.clock() + call.patience, call.begun + LIST_MOST)
-        data = yield from read(call.sock, until)
+        While a value is incomplete, its own deadlines replace `deadline`: a long list may take its time, but
+        one that never ends must not keep the watch alive.
+        """
+        if connection.value_started_at:
+            deadline = min(
+                self.clock() + connection.read_timeout, connection.value_started_at + LIST_TIMEOUT_NS
+            )
+        data = yield from read(connection.sock, deadline)
         if data is None:
-            raise WatchFailed("discovery is silent" if not call.begun else "a list did not come to its end")
-        values = call.side.feed(data)
-        call.begun = (call.begun or self.clock()) if call.side.part and not values else 0
+            raise WatchFailed(
+                "discovery sent nothing in time"
+                if not connection.value_started_at
+                else "a list was incomplete"
+            )
+        values = connection.protocol.feed(data)
+        connection.value_started_at = (
+            (connection.value_started_at or self.clock()) if connection.protocol.part and not values else 0
+        )
         if values:
-            self.take(call, values)
+            self.handle_values(connection, values)
+
+    def handle_values(self, connection: WatchConnection, values: Sequence[bytes]) -> None:
+        """Applies all listings of one read in one step.
 
-    def take(self, call: Call, values: Sequence[bytes]) -> None:
-        """All that was read at once is learnt at once. After what can't be read, or goes back, the whole list
-        is asked for."""
+        Raises `NoList` for a value that can't be read or whose version went back, once the listings before it
+        have been applied; the whole list is requested after that.
+        """
         listings: list[Listing] = []
         try:
             for value in values:
-                listings.append(self.listing(call, value))
+                listings.append(self.parse_listing(connection, value))
         finally:
             if listings:
-                self.took(call, listings)
+                self.handle_listings(connection, listings)
 
-    def listing(self, call: Call, value: bytes) -> Listing:
+    def parse_listing(self, connection: WatchConnection, value: bytes) -> Listing:
         try:
             listing = read_listing(value)
         except msgspec.MsgspecError as error:
-            raise NoList(f"what came is no list: {error}") from error
-        if not listing.whole and call.version is None:
-            raise NoList("changes came where the whole list was asked for")
-        if not listing.whole and call.version is not None and listing.seq < call.version:
-            raise NoList(f"the version went back from {call.version} to {listing.seq}")
-        call.version = listing.seq
+            raise NoList(f"discovery sent an invalid list: {error}") from error
+        if not listing.whole and connection.version is None:
+            raise NoList("discovery sent changes in place of the whole list")
+        if not listing.whole and connection.version is not None and listing.seq < connection.version:
+            raise NoList(f"list version went back from {connection.version} to {listing.seq}")
+        connection.version = listing.seq
         return listing
 
-    def took(self, call: Call, listings: Sequence[Listing]) -> None:
-        if not self.left(call):
-            self.within, self.anew, self.due = ANSWER_WITHIN, False, None
-            if self.former is not None:
-                self.end(self.former)
-                self.former = None
+    def handle_listings(self, connection: WatchConnection, listings: Sequence[Listing]) -> None:
+        if not self.is_previous(connection):
+            self.answer_timeout, self.needs_whole_list, self.list_due_at = ANSWER_TIMEOUT_NS, False, None
+            if self.previous is not None:
+                self.close_connection(self.previous)
+                self.previous = None
         if self.failures:
-            words = {"seq": listings[-1].seq, "failures": self.failures, "unheard_ms": self.unheard_ms()}
-            log.info("list heard again", extra=words)
+            fields = {"seq": listings[-1].seq, "failures": self.failures, "unheard_ms": self.unheard_ms()}
+            log.info("upstream list received again after failures", extra=fields)
         self.failures = 0
-        self.learn(listings)
+        self.on_listings(listings)
--- a/maddercart/sidecar/logs.py
+++ b/maddercart/sidecar/logs.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error, key=value, written by a thread so that a slow reader holds nothing up."""
+"""Logging to standard error. A thread writes the lines, so that a slow reader blocks nothing."""
 
 import logging
 import queue
@@ -9,20 +9,20 @@
 import msgspec
 from logfmter import Logfmter
 
-MOST = 1000  # lines that wait; further ones are lost rather than waited for
-FLUSH_WITHIN = 0.2  # seconds at the end
+MAX_QUEUED_LINES = 1000  # further lines are dropped, so that logging never blocks
+FLUSH_TIMEOUT_SECONDS = 0.2
 
 
-USUAL = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}  # of any record
+STANDARD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
 
 
 class JsonLines(logging.Formatter):
-    """An object a line: at, level, of, msg, then what the line tells beside."""
+    """Formats a record as one JSON object: at, level, of, msg, then the keys of `extra`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        told = {name: value for name, value in vars(record).items() if name not in USUAL}
+        extra = {name: value for name, value in vars(record).items() if name not in STANDARD_ATTRIBUTES}
         head = {"at": self.formatTime(record), "level": record.levelname, "of": record.name}
-        line = {**head, "msg": record.getMessage(), **told}
+        line = {**head, "msg": record.getMessage(), **extra}
         if record.exc_info:
             line["exc_info"] = self.formatException(record.exc_info)
         return msgspec.json.encode(line, enc_hook=str).decode()
@@ -35,19 +35,24 @@
 
 
 def start(level: str, form: str = "logfmt") -> "queue.Queue[logging.LogRecord]":
-    lines: queue.Queue[logging.LogRecord] = queue.Queue(MOST)
-    out = logging.StreamHandler(sys.stderr)
-    out.setFormatter(formatter(form))
-    logging.raiseExceptions = False  # a full queue is no reason to print
+    """Configures the root logger and starts the writing thread.
+
+    `form` is "json"; anything else is logfmt. Returns the queue of lines for `flush`.
+    """
+    lines: queue.Queue[logging.LogRecord] = queue.Queue(MAX_QUEUED_LINES)
+    output = logging.StreamHandler(sys.stderr)
+    output.setFormatter(formatter(form))
+    logging.raiseExceptions = False  # a full queue must not print a traceback
     root = logging.getLogger()
     root.handlers = [QueueHandler(lines)]
     root.setLevel(level)
-    QueueListener(lines, out).start()
+    QueueListener(lines, output).start()
     return lines
 
 
 def flush(lines: "queue.Queue[logging.LogRecord]") -> None:
-    until = time.monotonic() + FLUSH_WITHIN
-    while not lines.empty() and time.monotonic() < until:
+    """Waits until the queue is empty, for at most `FLUSH_TIMEOUT_SECONDS`."""
+    deadline = time.monotonic() + FLUSH_TIMEOUT_SECONDS
+    while not lines.empty() and time.monotonic() < deadline:
         time.sleep(0.002)
     sys.stderr.flush()
--- a/maddercart/sidecar/peers.py
+++ b/maddercart/sidecar/peers.py
@@ -1,9 +1,11 @@
-"""The other sidecars' word for the list, in use while discovery does not speak to this one.
+"""Exchanges the list of upstreams with the other sidecars, for use while discovery can't be reached.
 
-A sidecar starts with the list as it last had it. Where a whole tier starts at once discovery takes seconds to
-tell them all, and till then each would send its queries to upstreams that have gone, or that have just come
-back and are cold. So it asks those that discovery has told. What two of them say alike counts as told, and is
-taken back once discovery speaks itself."""
+A sidecar starts with the list it last knew. When all sidecars of a tier start at once, discovery takes
+seconds to answer them all, and until then each would send queries to upstreams that are gone, or that have
+just come back and are cold. So a sidecar asks those that discovery has answered. A record that two peers
+report alike counts as told, and is taken back once discovery answers. Times are nanoseconds of the monotonic
+clock.
+"""
 
 import logging
 import socket
@@ -22,16 +24,19 @@
 
 Address = tuple[str, int]
 
-ALIKE = 2  # so many must say the same: no decision rests on one datagram, nor on one sidecar
-OLD = 2 * SECOND  # what answers an older ask is dropped: on their way datagrams take milliseconds
-AT_ONCE = 256  # datagrams read in a turn: a flood must not hold up queries
-OVERDUE = 2 * SECOND  # a third of the time after which what is missed counts; asks of ours are so far apart
-# Before the first word: a tier that starts at once asks some thousand times as it is.
-APART = SECOND // 2
-# Of a tier about so many answer an ask, by chance: with seven in ten of them gone, seven still do, and two
-# that say the same are needed. All of 200 answered, in several datagrams each.
-ANSWERS = 24
-ANSWERED = 4  # asks of one peer within `OLD`: one that asks without end is not answered without end
+MIN_AGREEING_PEERS = 2  # no decision rests on one datagram or on one sidecar
+ASK_LIFETIME_NS = 2 * SECOND  # answers to older asks are dropped; datagrams take milliseconds
+MAX_DATAGRAMS_PER_TURN = 256  # read in one turn of the loop, so that a flood does not delay queries
+# How long discovery must be out of reach before peers are asked and believed, and the interval of asks then:
+# a third of the time after which missed changes count as told.
+DISCOVERY_OVERDUE_NS = 2 * SECOND
+# Before discovery's first list. Not shorter, as a tier that starts at once already asks some thousand times.
+STARTUP_ASK_INTERVAL_NS = SECOND // 2
+# How many peers answer an ask on average, chosen at random. With seven in ten of them gone, seven still do,
+# and two that agree are needed. Without this limit all of 200 answered, in several datagrams each.
+EXPECTED_ANSWERS = 24
+# Within `ASK_LIFETIME_NS`: a peer that asks without end is not answered without end.
+MAX_ANSWERS_PER_PEER = 4
 
 
 class Peers:
@@ -40,135 +45,160 @@
         loop: Loop,
         clock: Callable[[], int],
         sock: socket.socket,
-        at: Address,
-        peers: Sequence[Address],
-        everyone: Address,
+        listen_address: Address,
+        peer_addresses: Sequence[Address],
+        tier_address: Address,
         upstreams: Upstreams,
-        hear: Callable[[list[Entry]], None],
+        on_entries: Callable[[list[Entry]], None],
         counts: Counter[str],
         seed: int,
     ) -> None:
-        """`sock`: a datagram socket that is not bound yet; `everyone`: the address of the whole tier."""
-        self.chance = Random(seed)
-        self.loop, self.clock, self.everyone, self.upstreams = loop, clock, everyone, upstreams
-        self.peers, self.hear, self.counts = frozenset(peers), hear, counts
-        self.told = self.live = False  # discovery has spoken to this process; it still does
-        self.lost_at = 0  # when it last broke off
-        self.asks: dict[int, int] = {}  # when each was sent, by its token, in our clock
-        self.said: dict[Word, set[Address]] = defaultdict(set)
-        self.answered: dict[Address, list[int]] = {}
-        self.logged: set[str] = set()  # reasons for which a datagram was dropped
+        """Binds the socket and starts to receive.
+
+        `sock` is an unbound datagram socket. What is sent to `tier_address` reaches the whole tier.
+        `on_entries` gets the entries that enough peers agree on.
+        """
+        self.random = Random(seed)
+        self.loop, self.clock, self.tier_address, self.upstreams = loop, clock, tier_address, upstreams
+        self.peer_addresses, self.on_entries, self.counts = frozenset(peer_addresses), on_entries, counts
+        # Whether discovery has ever told this process the list, and whether it does now.
+        self.ever_told = self.discovery_live = False
+        self.discovery_lost_at = 0  # when discovery last told the list or was lost; 0: neither
+        self.sent_asks: dict[int, int] = {}  # by token: when it was sent
+        self.senders_by_record: dict[Word, set[Address]] = defaultdict(set)
+        self.answer_times: dict[Address, list[int]] = {}  # by asker: when its recent asks were answered
+        self.logged_reasons: set[str] = set()  # reasons for which a datagram was dropped
         self.sock = sock
-        self.sock.bind(at)
+        self.sock.bind(listen_address)
         self.task: Task = loop.spawn(self.receive())
 
     def close(self) -> None:
         self.loop.end(self.task)
         close(self.loop, self.sock)
 
-    # -- what discovery does
+    # -- state of discovery
 
     def follows(self, live: bool) -> None:
-        """Discovery has told the list, or has broken off or failed once more."""
-        if live or self.live:
-            self.said.clear()
-            self.lost_at = self.clock()
-        self.live, self.told = live, self.told or live
+        """`live`: True when discovery has told the list, False each time the watch or a call has failed."""
+        if live or self.discovery_live:
+            self.senders_by_record.clear()
+            self.discovery_lost_at = self.clock()
+        self.discovery_live, self.ever_told = live, self.ever_told or live
         self.ask()
 
-    def heeds(self, now: int) -> bool:
-        """Whether the others' word counts: before discovery's first, and once it has been out of reach for
-        long enough to have told them of drains."""
-        return not self.live and (not self.told or now - self.lost_at >= OVERDUE)
+    def accepts_reports(self, now: int) -> bool:
+        """Whether peers are asked and believed: before discovery's first list, and once it has been out of
+        reach long enough for drains to have been missed."""
+        return not self.discovery_live and (
+            not self.ever_told or now - self.discovery_lost_at >= DISCOVERY_OVERDUE_NS
+        )
 
     def ask(self) -> None:
+        """Asks the whole tier, unless reports are not accepted now or a recent ask is out."""
         now = self.clock()
-        self.asks = {token: at for token, at in self.asks.items() if now - at <= OLD}
-        apart = OVERDUE if self.told else APART
-        if not self.heeds(now) or any(now - at < apart for at in self.asks.values()):
+        self.sent_asks = {
+            token: sent_at for token, sent_at in self.sent_asks.items() if now - sent_at <= ASK_LIFETIME_NS
+        }
+        interval = DISCOVERY_OVERDUE_NS if self.ever_told else STARTUP_ASK_INTERVAL_NS
+        if not self.accepts_reports(now) or any(
+            now - sent_at < interval for sent_at in self.sent_asks.values()
+        ):
             return
-        token = self.chance.getrandbits(64)
-        self.asks[token] = now
-        self.send(write(ASK, self.upstreams.version or 0, token), self.everyone)
+        token = self.random.getrandbits(64)
+        self.sent_asks[token] = now
+        self.send(write(ASK, self.upstreams.version or 0, token), self.tier_address)
 
-    # -- what comes
+    # -- datagrams
 
     def receive(self) -> Coroutine:
         while True:
             yield Wait(self.sock.fileno(), READ)
-            for _ in range(AT_ONCE):
+            for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
                     data, sender = self.sock.recvfrom(MOST + 1)
-                except OSError:  # nothing more, or a refusal of what was sent before
+                except OSError:  # no more datagrams, or an ICMP error for one that was sent
                     break
                 try:
-                    self.take(data, sender)
+                    self.handle_datagram(data, sender)
                 except ValueError as error:
                     self.counts["words_dropped"] += 1
                     self.log_dropped(sender, str(error))
 
     def log_dropped(self, sender: Address, reason: str) -> None:
-        """Each reason once at INFO: a tier whose datagrams are all dropped must be seen."""
-        level = logging.DEBUG if reason in self.logged else logging.INFO
-        self.logged.add(reason)
+        """Logs each reason once at INFO, so that a tier whose datagrams are all dropped is noticed."""
+        level = logging.DEBUG if reason in self.logged_reasons else logging.INFO
+        self.logged_reasons.add(reason)
         log.log(level, "datagram dropped", extra={"from": "{}:{}".format(*sender), "reason": reason})
 
-    def take(self, data: bytes, sender: Address) -> None:
-        """Raises `ValueError` for a datagram that is none of ours, or answers no recent ask."""
-        if sender not in self.peers:
-            raise ValueError("not from a peer")
+    def handle_datagram(self, data: bytes, sender: Address) -> None:
+        """Raises `ValueError` for an invalid datagram, an unknown sender, or an answer to no recent ask."""
+        if sender not in self.peer_addresses:
+            raise ValueError("sender is not a known peer")
         message, now = read(data), self.clock()
         if message.kind == ASK:
             self.answer(message, sender, now)
-        elif self.heeds(now):
-            if now - self.asks.get(message.token, now - OLD - 1) > OLD:
-                raise ValueError("answers no ask of ours, or an old one")
-            self.listen(message, sender)
+        elif self.accepts_reports(now):
+            if now - self.sent_asks.get(message.token, now - ASK_LIFETIME_NS - 1) > ASK_LIFETIME_NS:
+                raise ValueError("token matches no recent ask")
+            self.handle_report(message, sender)
 
     def answer(self, message: Message, sender: Address, now: int) -> None:
-        """By who has it from discovery alone: what went round would come back as a second one's word."""
-        lately = [at for at in self.answered.get(sender, []) if now - at < OLD]
-        if not self.live or len(lately) >= ANSWERED:
+        """Answers an ask, only while discovery is in reach.
+
+        If peers passed on what they heard from peers, a report could come back as that of a second sidecar.
+        """
+        recent = [
+            answered_at
+            for answered_at in self.answer_times.get(sender, [])
+            if now - answered_at < ASK_LIFETIME_NS
+        ]
+        if not self.discovery_live or len(recent) >= MAX_ANSWERS_PER_PEER:
             return
-        if self.chance.random() * len(self.peers) >= ANSWERS:
+        if self.random.random() * len(self.peer_addresses) >= EXPECTED_ANSWERS:
             return
-        self.answered[sender] = [*lately, now]
-        words = [
+        self.answer_times[sender] = [*recent, now]
+        records = [
             Word(key_of(number), condition, stamp_ms)
             for number, condition, stamp_ms in self.upstreams.changed_after(message.version)
         ]
-        for data in tells(self.upstreams.version or 0, message.token, words):
+        for data in tells(self.upstreams.version or 0, message.token, records):
             self.send(data, sender)
 
-    def listen(self, message: Message, sender: Address) -> None:
-        alike = []
-        for word in message.words:
-            if word.condition not in (GONE, READY, DRAINING):
-                raise ValueError("no such condition")
-            self.said[word].add(sender)
-            if len(self.said[word]) == ALIKE:
-                alike.append(word)
-        if alike:
-            self.counts["words_heard"] += len(alike)
-            self.hear(entries_of(alike, self.upstreams.entries, self.upstreams.starts))
-
-    def send(self, data: bytes, to: Address) -> None:
+    def handle_report(self, message: Message, sender: Address) -> None:
+        """Applies the records that enough peers now agree on. Raises `ValueError` for unknown conditions."""
+        agreed = []
+        for record in message.words:
+            if record.condition not in (GONE, READY, DRAINING):
+                raise ValueError("unknown condition")
+            self.senders_by_record[record].add(sender)
+            if len(self.senders_by_record[record]) == MIN_AGREEING_PEERS:
+                agreed.append(record)
+        if agreed:
+            self.counts["words_heard"] += len(agreed)
+            self.on_entries(entries_from_records(agreed, self.upstreams.entries, self.upstreams.starts))
+
+    def send(self, data: bytes, address: Address) -> None:
         try:
-            self.sock.sendto(data, to)
-        except OSError as error:  # late or not at all is what is promised
-            log.debug("datagram not sent", extra={"to": to, "reason": str(error)})
+            self.sock.sendto(data, address)
+        except OSError as error:  # delivery is best effort
+            log.debug("datagram not sent", extra={"to": address, "reason": str(error)})
+
 
+def entries_from_records(
+    records: Sequence[Word], known: Mapping[int, Entry], starts: StartTimes
+) -> list[Entry]:
+    """Applies records to the known entries of their upstreams.
 
-def entries_of(words: Sequence[Word], known: Mapping[int, Entry], starts: StartTimes) -> list[Entry]:
-    """Of upstreams that are listed here: where another is reached only discovery tells. That one is ready
-    which started before what is known of it says nothing new."""
+    Records of unknown upstreams are left out, since only discovery tells addresses, and so are those whose
+    key stands for several. A READY record with an older start than the known one is out of date and left out.
+    """
     by_key: dict[int, list[Entry]] = defaultdict(list)
     for entry in known.values():
         by_key[key_of(entry.upstream)].append(entry)
-    made = []
-    for word in words:
-        for entry in by_key[word.key] if len(by_key[word.key]) == 1 else ():
-            if word.condition != READY or word.stamp_ms >= starts.stamp_ms(entry.upstream):
-                launched = starts.instant(entry.upstream, word.stamp_ms)
-                made.append(entry._replace(condition=word.condition, launched=launched))
-    return made
+    updated = []
+    for record in records:
+        for entry in by_key[record.key] if len(by_key[record.key]) == 1 else ():
+            if record.condition != READY or record.stamp_ms >= starts.stamp_ms(entry.upstream):
+                launched = starts.start_of(entry.upstream, record.stamp_ms)
+                updated.append(entry._replace(condition=record.condition, launched=launched))
+    return updated
--- a/maddercart/sidecar/signals.py
+++ b/maddercart/sidecar/signals.py
@@ -1,4 +1,4 @@
-"""Signals become calls in the loop: SIGTERM and SIGINT once, SIGHUP each time."""
+"""Delivers signals as calls in the event loop: SIGTERM and SIGINT once in all, SIGHUP each time."""
 
 import signal
 import socket
@@ -8,28 +8,32 @@
 from maddercart.net.sockets import read_now
 from maddercart.net.startup import retry_lack
 
-STOPS = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-def await_signals(loop: Loop, stop: Callable[[], None], renew: Callable[[], None]) -> None:
-    """From now on. Further signals to stop change nothing; those to renew that come together are one."""
-    inner, outer = retry_lack(socket.socketpair)
-    inner.setblocking(False)
-    outer.setblocking(False)
-    signal.set_wakeup_fd(outer.fileno(), warn_on_full_buffer=False)
-    for number in (*STOPS, signal.SIGHUP):
+def await_signals(loop: Loop, on_stop: Callable[[], None], on_reload: Callable[[], None]) -> None:
+    """Installs the signal handlers and returns.
+
+    `on_stop` is called for the first SIGTERM or SIGINT only. SIGHUPs that arrive together cause one call of
+    `on_reload`.
+    """
+    receiver, sender = retry_lack(socket.socketpair)
+    receiver.setblocking(False)
+    sender.setblocking(False)
+    signal.set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
+    for number in (*STOP_SIGNALS, signal.SIGHUP):
         signal.signal(number, lambda *_: None)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
-    def waiting() -> Coroutine:
+    def dispatch_signals() -> Coroutine:
         stopping = False
-        while outer.fileno() >= 0:
-            yield Wait(inner.fileno(), READ)
-            came = set(read_now(inner) or b"")
-            if signal.SIGHUP in came:
-                renew()
-            if not stopping and came.intersection(STOPS):
+        while sender.fileno() >= 0:
+            yield Wait(receiver.fileno(), READ)
+            received = set(read_now(receiver) or b"")
+            if signal.SIGHUP in received:
+                on_reload()
+            if not stopping and received.intersection(STOP_SIGNALS):
                 stopping = True
-                stop()
+                on_stop()
 
-    loop.spawn(waiting(), FIRST)
+    loop.spawn(dispatch_signals(), FIRST)
--- a/maddercart/sidecar/start_times.py
+++ b/maddercart/sidecar/start_times.py
@@ -1,8 +1,8 @@
-"""When upstreams started, in our own clock.
+"""Start times of upstreams, converted to the local monotonic clock.
 
-The list stamps each start by a clock that is not ours, and either may be stepped. So a stamp is compared with
-other stamps of the list only: another one than before is another start, and what started long before others
-did is at least so old. Nothing is subtracted from our own time but such a span.
+The list stamps each start by a remote wall clock, and either machine's wall clock may be stepped. So stamps
+are compared only with other stamps of the list: a changed stamp means a new start, and an upstream is at
+least as old as its stamp is older than recent ones. Only such differences are subtracted from local time.
 """
 
 from collections.abc import Callable, Iterable
@@ -10,38 +10,45 @@
 from maddercart.interface import MILLISECOND
 
 LONG_AGO = 0  # the stamp of an upstream that started long ago
-STAMP_MOST = 1 << 62  # milliseconds: what a list may say beyond it is no time
-KEPT = 16_384  # starts that are remembered: several of each upstream of the largest fleet
+MAX_STAMP_MS = 1 << 62  # higher figures in a list are not valid times
+MAX_KNOWN_STARTS = 16_384  # several for each upstream of the largest fleet
 
 
 class StartTimes:
-    """Gives each start one instant of `clock`, not earlier than the upstream really started."""
+    """Maps each start to a fixed instant of `clock` that is never before the real start.
+
+    `clock` returns nanoseconds. Stamps are milliseconds of the list's clock, `LONG_AGO` for a start long ago.
+    """
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self.clock = clock
-        self.instants: dict[tuple[int, int], int] = {}  # by upstream and stamp, the last used one last
-        self.stamps: dict[int, int] = {}  # milliseconds, as the list last told each
+        self.instants: dict[tuple[int, int], int] = {}  # by upstream and stamp; least recently used first
+        self.stamps: dict[int, int] = {}  # by upstream: the last stamp on the list, in milliseconds
+
+    def listed(self, upstream: int, stamp_ms: int, reference_ms: int) -> int:
+        """Records the stamp of a list entry, and returns as `start_of` does."""
+        self.stamps[upstream] = stamp_ms
+        return self.start_of(upstream, stamp_ms, reference_ms)
 
-    def listed(self, upstream: int, stamp: int, reference: int) -> int:
-        """The instant of a start that the list tells, 0 for long ago. `reference`: see `reference`."""
-        self.stamps[upstream] = stamp
-        return self.instant(upstream, stamp, reference)
+    def start_of(self, upstream: int, stamp_ms: int, reference_ms: int = LONG_AGO) -> int:
+        """The instant of a start in nanoseconds of `clock`; 0 for one long ago.
 
-    def instant(self, upstream: int, stamp: int, reference: int = LONG_AGO) -> int:
-        """As `listed`, for what others than discovery say."""
-        if stamp == LONG_AGO:
+        `reference_ms` is a time of the list's clock that has passed, see `reference`. Without it a start that
+        is not known yet is taken to happen now.
+        """
+        if stamp_ms == LONG_AGO:
             return 0
-        known = self.instants.pop((upstream, stamp), None)
+        known = self.instants.pop((upstream, stamp_ms), None)
         if known is None:
-            age = max(0, reference - stamp) * MILLISECOND
+            age = max(0, reference_ms - stamp_ms) * MILLISECOND
             known = max(1, self.clock() - age)
-        self.instants[upstream, stamp] = known
-        if len(self.instants) > KEPT:
+        self.instants[upstream, stamp_ms] = known
+        if len(self.instants) > MAX_KNOWN_STARTS:
             del self.instants[next(iter(self.instants))]
         return known
 
     def stamp_ms(self, upstream: int) -> int:
-        """The stamp of an upstream's last start that the list told."""
+        """The upstream's last stamp on the list, `LONG_AGO` if there is none."""
         return self.stamps.get(upstream, LONG_AGO)
 
     def forget(self, upstream: int) -> None:
@@ -49,12 +56,14 @@
 
 
 def whole_stamp(born_ms: float) -> int:
-    """In whole milliseconds, and within what a datagram can carry."""
-    return int(min(max(born_ms, LONG_AGO), STAMP_MOST))
+    """Rounds down to whole milliseconds, and limits to the range that a datagram can carry."""
+    return int(min(max(born_ms, LONG_AGO), MAX_STAMP_MS))
 
 
 def reference(stamps: Iterable[int]) -> int:
-    """A moment of the list's clock that has passed: the newest start but one, so that a single machine whose
-    clock is ahead makes no other upstream seem old."""
+    """A time of the list's clock that has passed: the second newest stamp, `LONG_AGO` with fewer than two.
+
+    Not the newest, so that one machine whose clock is ahead makes no other upstream seem old.
+    """
     newest = sorted(stamps)[-2:]
     return newest[0] if len(newest) == 2 else LONG_AGO
--- a/maddercart/sidecar/wall_clock.py
+++ b/maddercart/sidecar/wall_clock.py
@@ -1,4 +1,4 @@
-"""Watches the wall clock for the log alone: lines are stamped by it, and no decision may rest on it."""
+"""Logs steps of the wall clock, which stamps the log lines. No decision rests on the wall clock."""
 
 import logging
 import time
@@ -7,22 +7,23 @@
 
 log = logging.getLogger(__name__)
 
-STEP_TOLD = 100 * MILLISECOND  # less is the drift of a clock that is kept in time
+MIN_LOGGED_STEP_NS = 100 * MILLISECOND  # smaller changes are the drift of a synchronised clock
 
 
 class WallClock:
-    """Says when the wall clock has moved otherwise than the monotonic one."""
+    """Detects steps of the wall clock against the monotonic clock."""
 
     def __init__(self) -> None:
         self.offset = self.read_offset()
 
     def read_offset(self) -> int:
+        """Nanoseconds by which the wall clock is ahead of the monotonic clock."""
         return time.time_ns() - time.monotonic_ns()
 
     def check(self) -> None:
-        """Logs a step since the last look."""
+        """Logs a step since the previous check."""
         offset = self.read_offset()
         step = offset - self.offset
         self.offset = offset
-        if abs(step) >= STEP_TOLD:
+        if abs(step) >= MIN_LOGGED_STEP_NS:
             log.info("wall clock stepped", extra={"ms": step // MILLISECOND})
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -1,5 +1,7 @@
-"""What counts as told, and that nothing is written to an upstream against it. One case each, on sockets;
-`test_told_plays.py` plays generated ones."""
+"""When changes of the upstream list count as told, and that no query is written to an upstream against them.
+
+These are single cases on sockets; `test_told_plays.py` runs generated deployments.
+"""
 
 import json
 import socket
@@ -21,39 +23,42 @@
 from tests.test_sidecar import tell, watched
 
 
-class Late:
-    """Connections to upstreams come up only when it is said."""
+class SlowConnect:
+    """Replaces the connect of dispatches: connections come up only once `held` is false."""
 
-    def __init__(self, patch: pytest.MonkeyPatch) -> None:
-        self.held, self.waiting = True, 0
-        patch.setattr(dispatches, "connect", self.connect)
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.held, self.attempts = True, 0
+        monkeypatch.setattr(dispatches, "connect", self.connect)
 
-    def connect(self, loop: Any, sock: socket.socket, to: tuple[str, int], until: int) -> Iterator[Any]:
-        self.waiting += 1
-        up = yield from sockets.connect(loop, sock, to, until)
+    def connect(
+        self, loop: Any, sock: socket.socket, address: tuple[str, int], deadline: int
+    ) -> Iterator[Any]:
+        self.attempts += 1
+        connected = yield from sockets.connect(loop, sock, address, deadline)
         while self.held:
             yield Wait(until=loop.clock() + MS)
-        return up
+        return connected
 
 
 @pytest.fixture
-def late(monkeypatch: pytest.MonkeyPatch) -> Late:
-    return Late(monkeypatch)
+def slow_connect(monkeypatch: pytest.MonkeyPatch) -> SlowConnect:
+    return SlowConnect(monkeypatch)
 
 
-def change(desk: Desk, seq: int, *names: str, **more: Any) -> str:
-    lines = [host(name, desk.dials[int(name[2:])], **more) for name in names]
+def changes(harness: Desk, seq: int, *names: str, **more: Any) -> str:
+    """Discovery's changes at version `seq` for some of the harness's upstreams, as JSON."""
+    lines = [host(name, harness.dials[int(name[2:])], **more) for name in names]
     return json.dumps({"seq": seq, "whole": False, "hosts": lines})
 
 
-def untouched(desk: Desk, ear: int) -> bool:
-    """Nothing of a query was written to it, whether or not a connection came up."""
-    desk.ears[ear].setblocking(False)
+def received_nothing(harness: Desk, upstream: int) -> bool:
+    """Whether no byte was written to an upstream, even if a connection came up."""
+    harness.ears[upstream].setblocking(False)
     try:
-        sock, _ = desk.ears[ear].accept()
+        sock, _ = harness.ears[upstream].accept()
     except BlockingIOError:
         return True
-    desk.opened.append(sock)
+    harness.opened.append(sock)
     sock.setblocking(False)
     try:
         return not sock.recv(1)
@@ -63,291 +68,300 @@
         return True
 
 
-@pytest.mark.parametrize("how", ["DRAINING", "DELETED", "moved", "unreadable"])
+@pytest.mark.parametrize("removal", ["DRAINING", "DELETED", "moved", "unreadable"])
 @pytest.mark.parametrize("offering", ["look", "post", "once"])
-def test_a_drain_told_while_the_connection_comes_up_sends_the_query_elsewhere(
-    late: Late, how: str, offering: str
+def test_an_upstream_removed_while_its_connection_comes_up_gets_no_query(
+    slow_connect: SlowConnect, removal: str, offering: str
 ) -> None:
-    """The first byte went out up to the connect timeout, 250 ms, after the choice, whatever was told between:
-    past a grace of 50 ms. The query never ran there, so that any offering may go elsewhere."""
-    with Desk(upstreams=2) as desk:
-        watch, client = watched(desk), desk.ask(offering)
-        desk.node.dispatcher.connect_timeout = SECOND
-        desk.turn(lambda: late.waiting)
-        (out,) = desk.node.decisions.out.values()
-        first = int(desk.node.upstreams.names[out.upstream][2:])
-        told = {
+    """The first byte was written up to the connect timeout of 250 ms after the upstream was chosen, past a
+    grace of 50 ms. The query never ran there, so that one of any effect may go elsewhere."""
+    with Desk(upstreams=2) as harness:
+        watch, client = watched(harness), harness.ask(offering)
+        harness.node.dispatcher.connect_timeout = SECOND
+        harness.turn(lambda: slow_connect.attempts)
+        (out,) = harness.node.decisions.out.values()
+        first = int(harness.node.upstreams.names[out.upstream][2:])
+        removed = {
             "moved": {"dial": "127.0.0.1:1"}, "unreadable": {"health": "LEAVING"},
-        }.get(how, {"health": how})  # fmt: skip
-        line = host(f"s-{first}", desk.dials[first]) | told
+        }.get(removal, {"health": removal})  # fmt: skip
+        line = host(f"s-{first}", harness.dials[first]) | removed
         tell(watch, json.dumps({"seq": 2, "whole": False, "hosts": [line]}))
-        desk.turn(lambda: desk.node.decisions.counts["withdrawn"])
-        late.held = False
-        second = desk.accept(1 - first)
-        assert b"X-Trace-Id" in desk.read(second)
+        harness.turn(lambda: harness.node.decisions.counts["withdrawn"])
+        slow_connect.held = False
+        second = harness.accept(1 - first)
+        assert b"X-Trace-Id" in harness.read(second)
         second.sendall(answer())
-        assert desk.reply(client) == 200 and untouched(desk, first)
+        assert harness.reply(client) == 200 and received_nothing(harness, first)
 
 
-def test_a_drain_that_is_written_but_not_read_yet_counts_before_the_first_byte(
-    late: Late, monkeypatch: pytest.MonkeyPatch
+def test_a_drain_that_discovery_has_written_counts_before_it_is_read(
+    slow_connect: SlowConnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """In a long turn, with little of a core, the look at what discovery wrote is old."""
+    """In a long turn of the loop, on a busy core, the last check for unread data of discovery may be old."""
     monkeypatch.setattr(dispatches.Dispatcher, "LOOKED", -1)
-    late.held = False
-    with Desk() as desk:
-        watch = watched(desk)
-        seen: list[bool] = []
-        news = desk.node.dispatcher.news
-
-        def told_now() -> bool:
-            if not seen:
-                tell(watch, change(desk, 2, "s-0", health="DRAINING"))
+    slow_connect.held = False
+    with Desk() as harness:
+        watch = watched(harness)
+        results: list[bool] = []
+        has_unread_data = harness.node.dispatcher.news
+
+        def drain_then_check() -> bool:
+            if not results:
+                tell(watch, changes(harness, 2, "s-0", health="DRAINING"))
                 time.sleep(0.01)
-            seen.append(news())
-            return seen[-1]
-
-        desk.node.dispatcher.news = told_now
-        assert desk.reply(desk.ask()) == 503 and seen[0] and untouched(desk, 0)
-
-
-def test_changes_of_one_read_are_learnt_before_anything_is_decided(late: Late) -> None:
-    """A drain and the change that makes its successor ready: a held query went by the first alone."""
-    with Desk(upstreams=2) as desk:
-        watch = watched(desk)
-        tell(watch, change(desk, 2, "s-1", health="DELETED"))
-        desk.turn(lambda: len(desk.node.upstreams.ready) == 1)
-        client = desk.ask()
-        desk.turn(lambda: late.waiting)
-        late.held = False
-        both = change(desk, 3, "s-0", health="DRAINING") + "\n" + change(desk, 4, "s-1")
+            results.append(has_unread_data())
+            return results[-1]
+
+        harness.node.dispatcher.news = drain_then_check
+        assert harness.reply(harness.ask()) == 503 and results[0] and received_nothing(harness, 0)
+
+
+def test_all_changes_of_one_read_are_applied_before_a_decision(slow_connect: SlowConnect) -> None:
+    """A drain and the change that opens its successor came in one read; a held query was decided by the drain
+    alone."""
+    with Desk(upstreams=2) as harness:
+        watch = watched(harness)
+        tell(watch, changes(harness, 2, "s-1", health="DELETED"))
+        harness.turn(lambda: len(harness.node.upstreams.ready) == 1)
+        client = harness.ask()
+        harness.turn(lambda: slow_connect.attempts)
+        slow_connect.held = False
+        both = changes(harness, 3, "s-0", health="DRAINING") + "\n" + changes(harness, 4, "s-1")
         tell(watch, both)
-        second = desk.accept(1)
-        desk.read(second)
+        second = harness.accept(1)
+        harness.read(second)
         second.sendall(answer())
-        assert desk.reply(client) == 200 and untouched(desk, 0)
+        assert harness.reply(client) == 200 and received_nothing(harness, 0)
 
 
-def test_what_peers_told_and_discovery_tells_are_one_step(late: Late) -> None:
-    """Taken back by a step of its own, it let held queries out by the old word."""
-    with Desk(upstreams=2) as desk:
-        watch = watched(desk)
-        known = desk.node.upstreams.entries[number_of("s-0")]
-        desk.node.backing.hear([known._replace(condition=2)])
-        assert not desk.node.upstreams.may_send(known.upstream, ("127.0.0.1", 1))
-        made: list[int] = []
-        learn = desk.node.decisions.balancer.learn
+def test_peers_reports_are_taken_back_in_one_step_with_discoverys_list(slow_connect: SlowConnect) -> None:
+    """Taken back in a step of its own, they let held queries be sent by the older list."""
+    with Desk(upstreams=2) as harness:
+        watch = watched(harness)
+        known = harness.node.upstreams.entries[number_of("s-0")]
+        harness.node.backing.hear([known._replace(condition=2)])
+        assert not harness.node.upstreams.may_send(known.upstream, ("127.0.0.1", 1))
+        out_counts: list[int] = []
+        learn = harness.node.decisions.balancer.learn
 
-        def noted(now: int, entries: Any, whole: bool) -> None:
+        def recording_learn(now: int, entries: Any, whole: bool) -> None:
             learn(now, entries, whole)
-            made.append(len(desk.node.decisions.out))
+            out_counts.append(len(harness.node.decisions.out))
 
-        desk.node.decisions.balancer.learn = noted  # type: ignore[method-assign]
-        settle: list[int] = []
-        was = desk.node.decisions.settle
-        desk.node.decisions.settle = lambda: (settle.append(len(made)), was())[1]  # type: ignore[method-assign]
-        tell(watch, change(desk, 2, "s-0", health="DRAINING"))
-        desk.turn(lambda: len(made) == 2)
-        assert 1 not in settle and 2 in settle
+        harness.node.decisions.balancer.learn = recording_learn  # type: ignore[method-assign]
+        learns_seen: list[int] = []
+        settle = harness.node.decisions.settle
+        harness.node.decisions.settle = lambda: (learns_seen.append(len(out_counts)), settle())[1]  # type: ignore[method-assign]
+        tell(watch, changes(harness, 2, "s-0", health="DRAINING"))
+        harness.turn(lambda: len(out_counts) == 2)
+        assert 1 not in learns_seen and 2 in learns_seen
 
 
-def test_a_watch_that_is_silent_leaves_time_for_two_calls() -> None:
-    """What it misses counts as told 6 s after its last line; 5 s of silence and 3 s for a call were more."""
+def test_the_silence_timeout_leaves_time_for_a_retry_pause_and_a_call() -> None:
+    """Changes missed on a watch count as told 6 s after its last line; 5 s of silence and 3 s for a call
+    exceeded that."""
     from maddercart.policy.balancer import Balancer
-    from maddercart.sidecar.discovery import ANSWER_WITHIN, SILENCE
+    from maddercart.sidecar.discovery import ANSWER_TIMEOUT_NS, SILENCE
 
     pause = int(1.5 * Balancer.FOLLOW_FIRST)
-    assert 2 * SECOND < SILENCE and SILENCE + pause + ANSWER_WITHIN < 6 * SECOND
+    assert 2 * SECOND < SILENCE and SILENCE + pause + ANSWER_TIMEOUT_NS < 6 * SECOND
 
 
-def test_a_list_without_end_does_not_pass_for_news(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("maddercart.sidecar.discovery.LIST_MOST", 100 * MS)
-    with Desk() as desk:
-        watch = watched(desk)
+def test_a_list_that_never_ends_is_abandoned_though_data_still_arrives(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr("maddercart.sidecar.discovery.LIST_TIMEOUT_NS", 100 * MS)
+    with Desk() as harness:
+        watch = watched(harness)
         watch.sendall(b"8\r\n" + b'{"seq":2' + b"\r\n")
-        desk.turn_for(0.05)
+        harness.turn_for(0.05)
         watch.sendall(b"1\r\n,\r\n")
-        assert desk.read(watch) == b"", "given up, though something came"
-        assert desk.accept_from(desk.discovery)
+        assert harness.read(watch) == b"", "the watch is abandoned although data arrived"
+        assert harness.accept_from(harness.discovery)
 
 
-def moving(desk: Desk) -> socket.socket:
+def move_discovery(harness: Desk) -> socket.socket:
+    """Reloads the configuration with another discovery service, and returns its listening socket."""
     other = socket.create_server(("127.0.0.1", 0))
-    desk.opened.append(other)
-    desk.config |= {"discovery": "{}:{}".format(*other.getsockname())}
-    desk.node.renew()
+    harness.opened.append(other)
+    harness.config |= {"discovery": "{}:{}".format(*other.getsockname())}
+    harness.node.renew()
     return other
 
 
-def test_the_old_watch_counts_until_the_new_service_has_spoken() -> None:
-    """It was ended first, and for up to 3 s nothing was heard of either."""
-    with Desk(upstreams=2) as desk:
-        old = watched(desk)
-        other = moving(desk)
-        new = desk.accept_from(other)
-        desk.read(new)
-        tell(old, change(desk, 2, "s-0", health="DRAINING"))
-        desk.turn(lambda: number_of("s-0") not in desk.node.upstreams.ready)
+def test_the_previous_watch_counts_until_the_new_service_has_sent_its_list() -> None:
+    """It was closed first, and for up to 3 s nothing was received from either service."""
+    with Desk(upstreams=2) as harness:
+        old = watched(harness)
+        other = move_discovery(harness)
+        new = harness.accept_from(other)
+        harness.read(new)
+        tell(old, changes(harness, 2, "s-0", health="DRAINING"))
+        harness.turn(lambda: number_of("s-0") not in harness.node.upstreams.ready)
         new.close()
-        again = desk.accept_from(other)
-        assert desk.read(again).startswith(b"GET /api/targets HTTP"), "still the whole list"
-        whole = {"seq": 9, "whole": True, "hosts": [host("s-1", desk.dials[1])]}
+        again = harness.accept_from(other)
+        assert harness.read(again).startswith(b"GET /api/targets HTTP"), "the whole list is requested again"
+        whole = {"seq": 9, "whole": True, "hosts": [host("s-1", harness.dials[1])]}
         again.sendall(answer(body=json.dumps(whole, indent=1)))
-        assert b"after=9 " in desk.read(again) and desk.read(old) == b""
-        assert desk.node.upstreams.ready == {number_of("s-1")}
+        assert b"after=9 " in harness.read(again) and harness.read(old) == b""
+        assert harness.node.upstreams.ready == {number_of("s-1")}
 
 
-def test_an_old_watch_that_ends_during_a_move_is_not_asked_for_again() -> None:
-    with Desk() as desk:
-        old = watched(desk)
-        other = moving(desk)
-        new = desk.accept_from(other)
+def test_a_previous_watch_that_ends_during_a_move_is_not_reopened() -> None:
+    with Desk() as harness:
+        old = watched(harness)
+        other = move_discovery(harness)
+        new = harness.accept_from(other)
         old.close()
-        desk.turn(lambda: desk.node.discovery.former is None)
-        assert desk.node.discovery.following and desk.node.discovery.current is not None
+        harness.turn(lambda: harness.node.discovery.previous is None)
+        assert harness.node.discovery.following and harness.node.discovery.current is not None
         new.close()
-        assert desk.accept_from(other), "the new service is asked again"
+        assert harness.accept_from(other), "the new service is called again"
 
 
-# -- where lists are pushed
+# -- lists that are pushed
 
 
-def pushed(**more: Any) -> dict[str, Any]:
+def push_configuration(**more: Any) -> dict[str, Any]:
     settings = json.loads(config([]))["settings"]
     return {"settings": settings | {"discovery": "push"} | more}
 
 
-def test_where_lists_are_pushed_nothing_is_sent_before_discoverys_first_word() -> None:
-    """What the agent has counts as told from the first moment: a new process went by the list known."""
-    with Desk(upstreams=2, **pushed()) as desk:
-        assert not desk.node.backing.ready()
-        client = desk.ask()
-        watch = watched(desk)
-        tell(watch, change(desk, 2, "s-0", health="DRAINING"))
-        second = desk.accept(1)
-        desk.read(second)
+def test_with_pushed_lists_nothing_is_sent_before_the_first_list() -> None:
+    """All that the agent has counts as told from the start; a new process used the list it last knew."""
+    with Desk(upstreams=2, **push_configuration()) as harness:
+        assert not harness.node.backing.ready()
+        client = harness.ask()
+        watch = watched(harness)
+        tell(watch, changes(harness, 2, "s-0", health="DRAINING"))
+        second = harness.accept(1)
+        harness.read(second)
         second.sendall(answer())
-        assert desk.reply(client) == 200 and untouched(desk, 0) and desk.node.backing.ready()
+        assert harness.reply(client) == 200 and received_nothing(harness, 0) and harness.node.backing.ready()
 
 
-def test_without_a_first_word_it_bounces_and_goes_by_the_known_list_in_the_end(
+def test_with_pushed_lists_and_no_discovery_queries_bounce_until_the_known_list_is_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Discovery that is down must not keep a start from being ready within 30 s."""
+    """A sidecar must be ready within 30 s of its start even if discovery is down."""
     monkeypatch.setattr("maddercart.sidecar.node.WITHOUT_WORD", SECOND // 2)
-    with Desk(**pushed()) as desk:
-        desk.discovery.close()
-        assert desk.reply(desk.ask()) == 503 and untouched(desk, 0)
-        desk.turn(desk.node.backing.ready)
-        client = desk.ask()
-        upstream = desk.accept()
-        desk.read(upstream)
+    with Desk(**push_configuration()) as harness:
+        harness.discovery.close()
+        assert harness.reply(harness.ask()) == 503 and received_nothing(harness, 0)
+        harness.turn(harness.node.backing.ready)
+        client = harness.ask()
+        upstream = harness.accept()
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200
+        assert harness.reply(client) == 200
 
 
-def test_no_cap_on_upstreams_or_peers_below_a_thousand() -> None:
-    """All of 1,200 are replaced at once, twice, and each that went can still be told to who asks."""
+def test_1200_upstreams_can_be_replaced_at_once_and_all_be_reported_to_peers() -> None:
+    """All of 1,200 are replaced at once, twice, and those that left can still be reported to peers."""
     from maddercart.messages.words import tells
 
-    with Desk() as desk:
-        known = desk.node.upstreams
+    with Desk() as harness:
+        upstreams = harness.node.upstreams
         for seq in range(2, 5):
             hosts = [host(f"h{seq}-{n}", f"127.0.0.1:{n + 1}") for n in range(1200)]
-            desk.node.backing.learn([Listing(seq, hosts, whole=True)])
-            assert len(known.ready) == 1200
-            assert len(known.changed_after(seq - 1)) >= (1200 if seq == 2 else 2400)
-        assert len(desk.node.decisions.balancer.roster.by_id) == 1200
-        assert len(list(tells(4, 0, [dispatch_word(*word) for word in known.changed_after(3)]))) > 100
+            harness.node.backing.learn([Listing(seq, hosts, whole=True)])
+            assert len(upstreams.ready) == 1200
+            assert len(upstreams.changed_after(seq - 1)) >= (1200 if seq == 2 else 2400)
+        assert len(harness.node.decisions.balancer.roster.by_id) == 1200
+        assert len(list(tells(4, 0, [record_of(*change) for change in upstreams.changed_after(3)]))) > 100
 
 
-def dispatch_word(number: int, condition: int, stamp_ms: int) -> Any:
+def record_of(number: int, condition: int, stamp_ms: int) -> Any:
     from maddercart.messages.words import Word, key_of
 
     return Word(key_of(number), condition, stamp_ms)
 
 
-Say = Callable[[socket.socket], None]
+Respond = Callable[[socket.socket], None]
 
 
-@pytest.mark.parametrize("say", [
+@pytest.mark.parametrize("respond", [
     lambda sock: sock.sendall(answer(503)), lambda sock: None, lambda sock: sock.close(),
     lambda sock: sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"seq":2,'),
     lambda sock: sock.sendall(answer(body='{"seq":2,"hosts":"none"}')),
 ])  # fmt: skip
-def test_whatever_discovery_does_the_list_known_is_served_by_and_it_is_asked_again(
-    say: Say, monkeypatch: pytest.MonkeyPatch
+def test_when_discovery_fails_the_known_list_is_used_and_discovery_is_called_again(
+    respond: Respond, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("maddercart.sidecar.discovery.SILENCE", 100 * MS)
-    with Desk() as desk:
-        desk.node.discovery.within = 100 * MS
-        client = desk.ask()
-        sock = desk.accept_from(desk.discovery)
-        desk.read(sock)
-        say(sock)
-        upstream = desk.accept()
-        desk.read(upstream)
+    with Desk() as harness:
+        harness.node.discovery.answer_timeout = 100 * MS
+        client = harness.ask()
+        sock = harness.accept_from(harness.discovery)
+        harness.read(sock)
+        respond(sock)
+        upstream = harness.accept()
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200
-        assert desk.accept_from(desk.discovery)
+        assert harness.reply(client) == 200
+        assert harness.accept_from(harness.discovery)
 
 
-def test_calls_that_fail_come_sooner_while_what_is_missed_is_about_to_count() -> None:
-    """Three failed, and the next came 5.7 s later: past the 6 s after which a silent watch's news counts."""
-    module = Host([entry(1)]).balancer
+def test_retries_come_sooner_as_the_time_nears_when_missed_changes_count() -> None:
+    """After three failures the next call came 5.7 s later, past the 6 s after which missed changes count."""
+    balancer = Host([entry(1)]).balancer
     now, due, pauses = 100 * SECOND, 106 * SECOND, []
     while now < due:
-        module.list_failed(now, due - now)
-        pauses.append(module.follow_at - now)
-        now = module.follow_at
+        balancer.list_failed(now, due - now)
+        pauses.append(balancer.follow_at - now)
+        now = balancer.follow_at
     assert 4 < len(pauses) < 30 and max(pauses[-3:]) < SECOND
     for _ in range(9):
-        module.list_failed(now)
-    assert SECOND // 2 <= module.follow_at - now <= 3 * SECOND // 2, "with no such time, by its own pauses"
+        balancer.list_failed(now)
+    assert SECOND // 2 <= balancer.follow_at - now <= 3 * SECOND // 2, (
+        "without such a time the regular pauses apply"
+    )
 
 
-def test_a_repeat_asks_its_window_once_more_before_its_first_byte() -> None:
-    desk = Host([entry(1), entry(2)], offerings=[offering(i.LABELLED)])
-    desk.take()
-    desk.now += SECOND // 2
-    desk.end(1, 0, i.RESET)
-    assert desk.balancer.may_begin(desk.now, 1) and len(desk.out) == 1
-    desk.now += SECOND // 2
-    assert not desk.balancer.may_begin(desk.now, 1), "its window is over, and it may have run"
-    made = desk.end(1, 1, i.MOOT)
-    assert made[0][0] == "bounce", "its repeats are dropped everywhere"
+def test_a_labelled_repeat_checks_its_window_again_before_the_first_byte() -> None:
+    driver = Host([entry(1), entry(2)], offerings=[offering(i.LABELLED)])
+    driver.take()
+    driver.now += SECOND // 2
+    driver.end(1, 0, i.RESET)
+    assert driver.balancer.may_begin(driver.now, 1) and len(driver.out) == 1
+    driver.now += SECOND // 2
+    assert not driver.balancer.may_begin(driver.now, 1), "its window is over, and it may have run"
+    decisions = driver.end(1, 1, i.MOOT)
+    assert decisions[0][0] == "bounce", "upstreams drop its repeats everywhere"
 
 
 @pytest.mark.parametrize(
     ("lines", "ready"),
     [
-        ([host("s-0", "127.0.0.1:9"), host("s-1", "127.0.0.1:9")], {"s-0", "s-1"}),  # two at one address
-        ([host("s-0", "nowhere"), host("s-1", "localhost:80")], set()),  # addresses that are none
-        ([host("s-0", health="SERVING"), host("s-0", health="DRAINING")], {"s-1"}),  # twice: the last counts
+        ([host("s-0", "127.0.0.1:9"), host("s-1", "127.0.0.1:9")], {"s-0", "s-1"}),  # two at the same address
+        ([host("s-0", "nowhere"), host("s-1", "localhost:80")], set()),  # invalid addresses
+        ([host("s-0", health="SERVING"), host("s-0", health="DRAINING")], {"s-1"}),  # the last line counts
         ([host("s-0", born_ms="x"), host("s-1", site="nowhere")], set()),
         ([7, None, {}, {"host": 3}, {"host": "s-9", "health": "SERVING"}], {"s-0", "s-1"}),
     ],
 )
-def test_odd_lines_cost_no_other_and_open_nothing(lines: list[Any], ready: set[str]) -> None:
-    with Desk(upstreams=2) as desk:
-        watch = watched(desk)
+def test_invalid_lines_open_nothing_and_affect_no_other_line(lines: list[Any], ready: set[str]) -> None:
+    with Desk(upstreams=2) as harness:
+        watch = watched(harness)
         tell(watch, json.dumps({"seq": 2, "whole": False, "hosts": lines}))
-        desk.turn(lambda: desk.node.upstreams.version == 2)
-        assert desk.node.upstreams.ready == {number_of(name) for name in ready}
-        known = desk.node.decisions.balancer.roster.by_id.items()
-        assert {n for n, one in known if one.entry.condition == i.READY} == desk.node.upstreams.ready
+        harness.turn(lambda: harness.node.upstreams.version == 2)
+        assert harness.node.upstreams.ready == {number_of(name) for name in ready}
+        known = harness.node.decisions.balancer.roster.by_id.items()
+        assert {
+            number for number, upstream in known if upstream.entry.condition == i.READY
+        } == harness.node.upstreams.ready
 
 
 @pytest.mark.parametrize("known", [[], [host("s-7", "127.0.0.1:1"), host("s-8", "127.0.0.1:1")]])
-def test_a_known_list_that_is_empty_or_out_of_date_is_mended_by_the_first_word(known: list[Any]) -> None:
-    with Desk() as desk:
-        desk.node.backing.learn([Listing(1, known, whole=True)])
-        watch = watched(desk)
-        lines = [host("s-7", health="DELETED"), host("s-8", health="DELETED"), host("s-0", desk.dials[0])]
+def test_an_empty_or_outdated_known_list_is_corrected_by_the_first_change(known: list[Any]) -> None:
+    with Desk() as harness:
+        harness.node.backing.learn([Listing(1, known, whole=True)])
+        watch = watched(harness)
+        lines = [host("s-7", health="DELETED"), host("s-8", health="DELETED"), host("s-0", harness.dials[0])]
         tell(watch, json.dumps({"seq": 2, "whole": False, "hosts": lines}))
-        desk.turn(lambda: desk.node.upstreams.ready == {number_of("s-0")})
-        client = desk.ask()
-        upstream = desk.accept()
-        desk.read(upstream)
+        harness.turn(lambda: harness.node.upstreams.ready == {number_of("s-0")})
+        client = harness.ask()
+        upstream = harness.accept()
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200
+        assert harness.reply(client) == 200
