--- a/tests/faults/test_leaving.py
+++ b/tests/faults/test_leaving.py
@@ -1,4 +1,5 @@
-"""Clients that leave, and the sidecar that leaves: nothing is begun for them, nothing is lost by it."""
+"""Clients that disconnect, and the shutdown of the sidecar: nothing is sent for a client that has left, and a
+shutdown loses no request."""
 
 import errno
 import time
@@ -7,66 +8,69 @@
 from tests.helpers import MS, Desk
 
 
-def test_connections_that_cannot_be_accepted_for_a_moment_are_accepted_before_the_listener_closes() -> None:
-    """They were reset by its end, with the requests that they held."""
-    with Desk() as desk:
-        listener = desk.node.listener
-        desk.node.stop()
-        desk.turn_for(0.45)
-        client = desk.client()
+def test_connections_that_temporarily_cannot_be_accepted_are_accepted_before_the_listener_closes() -> None:
+    """Closing the listener reset them, with the requests that they carried."""
+    with Desk() as harness:
+        listener = harness.node.listener
+        harness.node.stop()
+        harness.turn_for(0.45)
+        client = harness.client()
         client.sendall(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        applications = desk.node.applications
+        applications = harness.node.applications
         accept, errors = applications.accept_some, [errno.ENFILE] * 5
 
-        def fails(*arguments: Any) -> bool:
+        def failing_accept(*arguments: Any) -> bool:
             if errors:
                 raise OSError(errors.pop(), "too many open files")
             return accept(*arguments)
 
-        applications.accept_some = fails  # type: ignore[method-assign]
+        applications.accept_some = failing_accept  # type: ignore[method-assign]
         if applications.acceptor is not None:
-            desk.node.loop.end(applications.acceptor)
-        assert desk.reply(client) == 503 and not errors
-        desk.turn(lambda: listener.fileno() < 0)
+            harness.node.loop.end(applications.acceptor)
+        assert harness.reply(client) == 503 and not errors
+        harness.turn(lambda: listener.fileno() < 0)
 
 
-def test_no_attempt_is_begun_for_a_client_that_left_while_the_process_was_held_up() -> None:
-    """Its request and its end came in one standstill: the attempt went out over 0.1 s after the end."""
-    with Desk() as desk:
-        client = desk.ask()
+def test_nothing_is_dispatched_for_a_client_that_left_while_the_process_was_stalled() -> None:
+    """The request and the end of its connection arrived during one stall, and the query was dispatched over
+    0.1 s after the end."""
+    with Desk() as harness:
+        client = harness.ask()
         client.close()
         time.sleep(0.15)
-        desk.turn(lambda: desk.node.decisions.counts["left"])
-        desk.ears[0].setblocking(False)
+        harness.turn(lambda: harness.node.decisions.counts["left"])
+        harness.ears[0].setblocking(False)
         try:
-            upstream, _ = desk.ears[0].accept()
+            upstream, _ = harness.ears[0].accept()
         except BlockingIOError:
             return
         upstream.settimeout(1)
-        assert upstream.recv(1) == b"", "a connection may have been begun, but nothing is written"
+        assert upstream.recv(1) == b"", "a connection may have been opened, but nothing is written"
 
 
-def test_a_slow_request_that_comes_whole_while_stopping_is_answered_before_the_process_leaves() -> None:
-    """It was held for its own time, past the end of the process."""
-    with Desk() as desk:
-        client = desk.client()
+def test_a_slow_request_that_completes_during_shutdown_is_answered_before_the_process_ends() -> None:
+    """It was held for its own expiry time, beyond the end of the process."""
+    with Desk() as harness:
+        client = harness.client()
         client.sendall(b"GET /look HTTP/1.1\r\nHost: x\r\nX-Trace-Id: slow\r\n")
-        desk.turn_for(0.02)
-        desk.node.longest = 300 * MS
-        desk.node.stop()
-        desk.turn_for(0.6)
+        harness.turn_for(0.02)
+        harness.node.longest = 300 * MS
+        harness.node.stop()
+        harness.turn_for(0.6)
         client.sendall(b"X-Qos: look\r\nX-Expires-In: 900m\r\n\r\n")
-        desk.read(desk.accept())
-        desk.turn(lambda: desk.node.loop.stopped)
+        harness.read(harness.accept())
+        harness.turn(lambda: harness.node.loop.stopped)
         client.settimeout(0.1)
-        assert client.recv(4096).startswith(b"HTTP/1.1 503"), "redoable: it may be asked elsewhere"
+        assert client.recv(4096).startswith(b"HTTP/1.1 503"), (
+            "the query is redoable, so the client may send it elsewhere"
+        )
 
 
-def test_a_request_that_was_read_in_part_is_answered_before_its_place_goes_to_another() -> None:
-    """Its connection was closed with no answer, and reset under what its client still wrote."""
-    with Desk() as desk:
-        desk.node.applications.most = 1
-        half, other = desk.client(), desk.client()
-        half.sendall(b"GET /look HTTP/1.1\r\nHost: x\r\n")
+def test_a_partly_read_request_is_answered_before_its_connection_is_closed_for_another() -> None:
+    """Its connection was closed without an answer, and reset while its client was still writing."""
+    with Desk() as harness:
+        harness.node.applications.most = 1
+        partial, other = harness.client(), harness.client()
+        partial.sendall(b"GET /look HTTP/1.1\r\nHost: x\r\n")
         other.sendall(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert desk.reply(half) == 408 and desk.reply(other) == 200
+        assert harness.reply(partial) == 408 and harness.reply(other) == 200
--- a/tests/faults/test_soaks.py
+++ b/tests/faults/test_soaks.py
@@ -1,4 +1,4 @@
-"""Short seeded soaks; `maddercart soak --count 50` plays longer ones."""
+"""Short soak tests with fixed seeds; `maddercart soak --count 50` runs longer ones."""
 
 from pathlib import Path
 
@@ -9,7 +9,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 10, 14])
 def test_rules_hold_under_faults(seed: int, tmp_path: Path) -> None:
-    """2 and 10 lost a request each and 14 sent 30 to draining servers, before the incident was mended."""
+    """Before the fix, seeds 2 and 10 lost a request each, and seed 14 sent 30 to draining servers."""
     result = run_soak(seed, span=16.0, logs=tmp_path)
     assert result.broken == []
-    assert result.answered > result.requests * 0.8, "who refuses all breaks no rule either"
+    assert result.answered > result.requests * 0.8, (
+        "a sidecar that rejects all requests would also break no rule"
+    )
--- a/tests/faults/test_stepped_wall_clocks.py
+++ b/tests/faults/test_stepped_wall_clocks.py
@@ -1,4 +1,4 @@
-"""Machines whose wall clock is stepped: real processes on loopback, and the decisions on their own."""
+"""Stepped wall clocks, with real processes on loopback and with the balancer alone."""
 
 import asyncio
 from pathlib import Path
@@ -13,71 +13,79 @@
 from maddercart.sidecar.upstreams import number_of
 from tests.helpers import MS, Desk, Host, entry, host
 
-TOLD_AT_THE_LATEST = 6.0  # seconds after discovery had a change, whatever calls to it come to
-HOLD_UP = 0.2  # seconds: 0.15 s between a sidecar's look at its clock and a write, and 50 ms on sockets
+TOLD_WITHIN_SECONDS = 6.0  # after discovery had a change, even if calls to it fail
+DELAY_SECONDS = 0.2  # 0.15 s between a sidecar's reading of its clock and a write, and 50 ms on sockets
 
 
-async def last_attempt_after_a_drain(
-    folder: Path, at_start: float, in_the_middle: float, told_before: bool = False
+async def seconds_from_drain_to_last_attempt(
+    folder: Path, step_at_start: float, later_step: float, told_before: bool = False
 ) -> float:
-    """One sidecar of three can't reach discovery and stands on a stepped machine; the drain is told to the
-    others. Returns how many seconds later it last sent something to the draining upstream."""
+    """Drains an upstream while one of three sidecars has a stepped wall clock and no discovery.
+
+    Its wall clock is stepped by `step_at_start` and then `later_step` seconds. With `told_before` it reaches
+    discovery at first. Returns the seconds from the drain to its last request to that upstream.
+    """
     async with Tier(folder, seed=1) as tier:
         cut_off, drained = tier.sidecars[0], tier.upstreams[0]
         if not told_before:
             tier.services[cut_off.name].begin(Trouble.UNAVAILABLE)
-        cut_off.step_wall_clock(at_start)
+        cut_off.step_wall_clock(step_at_start)
         await tier.start()
-        cut_off.step_wall_clock(in_the_middle)
+        cut_off.step_wall_clock(later_step)
         tier.services[cut_off.name].begin(Trouble.UNAVAILABLE)
-        tier.begin_clients(each=4, pause=0.02, span=TOLD_AT_THE_LATEST + GRACE + 2)
+        tier.begin_clients(each=4, pause=0.02, span=TOLD_WITHIN_SECONDS + GRACE + 2)
         await asyncio.sleep(0.5)
         tier.change("DRAINING", drained)
         drained_at = tier.registry.versions[-1].made_at
         await tier.clients_done()
         assert len(tier.asked) > 500
-        late = [
-            a.first_byte_at for a in tier.attempts if a.host == drained.host and a.sidecar == cut_off.name
+        sent_at = [
+            attempt.first_byte_at
+            for attempt in tier.attempts
+            if attempt.host == drained.host and attempt.sidecar == cut_off.name
         ]
-        return max(late, default=drained_at) - drained_at
+        return max(sent_at, default=drained_at) - drained_at
 
 
-@pytest.mark.parametrize(("at_start", "in_the_middle"), [(3600, 3600), (-3600, -3600), (5, -3600), (0, 400)])
+@pytest.mark.parametrize(
+    ("step_at_start", "later_step"), [(3600, 3600), (-3600, -3600), (5, -3600), (0, 400)]
+)
 def test_no_request_goes_to_a_draining_server_from_a_machine_with_a_stepped_clock(
-    tmp_path: Path, at_start: float, in_the_middle: float
+    tmp_path: Path, step_at_start: float, later_step: float
 ) -> None:
-    """Other sidecars' word was dropped for its time, and calls to discovery came up to 12 s apart."""
-    last = asyncio.run(last_attempt_after_a_drain(tmp_path, at_start, in_the_middle))
-    assert last <= TOLD_AT_THE_LATEST + GRACE + HOLD_UP
+    """Reports of other sidecars were dropped for their timestamps, and calls to discovery came up to 12 s
+    apart."""
+    last = asyncio.run(seconds_from_drain_to_last_attempt(tmp_path, step_at_start, later_step))
+    assert last <= TOLD_WITHIN_SECONDS + GRACE + DELAY_SECONDS
 
 
-def test_a_sidecar_that_discovery_turns_away_for_long_hears_of_drains_from_others(tmp_path: Path) -> None:
-    """Once discovery had spoken, the others' word counted no more, however long it was out of reach."""
-    last = asyncio.run(last_attempt_after_a_drain(tmp_path, 3600, -5, told_before=True))
-    assert last <= TOLD_AT_THE_LATEST + GRACE + HOLD_UP
+def test_a_sidecar_that_loses_discovery_for_long_learns_of_drains_from_peers(tmp_path: Path) -> None:
+    """After discovery's first list, peers were ignored, however long discovery was out of reach."""
+    last = asyncio.run(seconds_from_drain_to_last_attempt(tmp_path, 3600, -5, told_before=True))
+    assert last <= TOLD_WITHIN_SECONDS + GRACE + DELAY_SECONDS
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_calls_to_a_discovery_that_fails_leave_time_for_the_list_within_6_s(seed: int) -> None:
-    """The pauses grew to 12 s: what discovery told on its return was learnt that much later."""
-    host = Host([entry(0), entry(1)], seed=seed)
-    answer_within = 2 * SECOND  # of a service that works through calls in turn
+def test_retries_of_a_failing_discovery_leave_time_to_get_the_list_within_6_s(seed: int) -> None:
+    """The pauses grew to 12 s, and delayed by as much what discovery told on its return."""
+    driver = Host([entry(0), entry(1)], seed=seed)
+    answer_time = 2 * SECOND  # of a service that handles calls in turn
     for _ in range(30):
-        failed_at = host.now
-        host.balancer.list_failed(host.now)
-        while ("follow",) not in host.pull():
-            host.now += 10 * MS
-        assert host.now - failed_at + answer_within <= TOLD_AT_THE_LATEST * SECOND
+        failed_at = driver.now
+        driver.balancer.list_failed(driver.now)
+        while ("follow",) not in driver.pull():
+            driver.now += 10 * MS
+        assert driver.now - failed_at + answer_time <= TOLD_WITHIN_SECONDS * SECOND
 
 
-@pytest.mark.parametrize("off", [-3600, -5, 5, 3600])
-def test_an_upstream_that_is_told_to_have_started_is_cold_whatever_our_wall_clock_says(off: int) -> None:
-    """Its start was compared with our own wall time: on a machine an hour ahead it counted as warm."""
-    with Desk(upstreams=2) as desk:
-        node = desk.node
-        unix_ms = 1_700_000_000_000 + off * 1000
-        started = host("s-1", desk.dials[1], born_ms=unix_ms)
+@pytest.mark.parametrize("clock_offset", [-3600, -5, 5, 3600])
+def test_an_upstream_that_just_started_is_cold_whatever_the_local_wall_clock_shows(clock_offset: int) -> None:
+    """Its start was compared with the local wall clock; on a machine an hour ahead it counted as warm."""
+    with Desk(upstreams=2) as harness:
+        node = harness.node
+        unix_ms = 1_700_000_000_000 + clock_offset * 1000
+        started = host("s-1", harness.dials[1], born_ms=unix_ms)
         node.learn([Listing(2, [started])])
         known = node.decisions.balancer.roster.by_id[number_of("s-1")]
-        ramp, now = node.decisions.balancer.roster.ramp, desk.node.clock()
+        ramp, now = node.decisions.balancer.roster.ramp, harness.node.clock()
         assert now + ramp - SECOND < known.warm_at <= now + ramp
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, in every way that Linux documents, cost no request and no upstream."""
+"""Temporary failures of system calls, as documented by Linux, cost no request and eject no upstream."""
 
 import errno
 import os
@@ -16,8 +16,8 @@
 from tests.helpers import Desk, answer
 
 
-class Failing:
-    """Stands in for a listener whose accept fails so often before it works."""
+class FailingListener:
+    """A listening socket whose `accept` raises each of the errors before it works."""
 
     def __init__(self, listener: socket.socket, *errors: int) -> None:
         self.listener, self.errors = listener, list(errors)
@@ -29,90 +29,92 @@
 
 
 @pytest.mark.parametrize("number", sorted(sockets.ACCEPTED_GONE))
-def test_a_connection_that_has_gone_does_not_hide_the_next_one(number: int) -> None:
+def test_accept_skips_connections_that_are_gone(number: int) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = socket.create_connection(listener.getsockname())
-        accepted = sockets.accept(Failing(listener, number, number))  # type: ignore[arg-type]
+        accepted = sockets.accept(FailingListener(listener, number, number))  # type: ignore[arg-type]
         assert accepted is not None
         accepted.close()
         client.close()
 
 
 @pytest.mark.parametrize("number", [errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.EAGAIN, errno.ENOMEM])
-def test_a_lack_of_our_own_is_held_against_no_upstream(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """After three connects that lacked a port the upstream was ejected."""
-    with Desk() as desk:
-        opened = desk.node.loop.machine.tcp
+def test_a_local_resource_shortage_is_not_held_against_an_upstream(
+    number: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """After three connects that failed for lack of a local port, the upstream was ejected."""
+    with Desk() as harness:
+        opened = harness.node.loop.machine.tcp
 
         def tcp() -> socket.socket:
             sock = opened()
             monkeypatch.setattr(sock, "connect_ex", lambda at: number, raising=False)
             return sock
 
-        class Lacking(socket.socket):
+        class SocketWithoutConnect(socket.socket):
             def connect_ex(self, address: Any) -> int:
                 return number
 
-        def lacking() -> socket.socket:
-            return Lacking(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+        def failing_tcp() -> socket.socket:
+            return SocketWithoutConnect(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
-        monkeypatch.setattr(desk.node.loop.machine, "tcp", lacking)
+        monkeypatch.setattr(harness.node.loop.machine, "tcp", failing_tcp)
         for _ in range(4):
-            assert desk.reply(desk.ask()) == 503
-        assert desk.node.decisions.counts["no_descriptor"] == 4
-        assert OUTCOMES[Ending.NO_DESCRIPTOR] == MOOT and not desk.node.decisions.balancer.health.ejected
+            assert harness.reply(harness.ask()) == 503
+        assert harness.node.decisions.counts["no_descriptor"] == 4
+        assert OUTCOMES[Ending.NO_DESCRIPTOR] == MOOT and not harness.node.decisions.balancer.health.ejected
 
 
-def test_a_connect_that_a_signal_interrupts_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """EINTR passed for a refusal, and the connection that came up later was dropped."""
+def test_a_connect_interrupted_by_a_signal_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+    """EINTR was taken for a refusal, and the connection that came up later was dropped."""
 
-    class Interrupted(socket.socket):
+    class InterruptedSocket(socket.socket):
         def connect_ex(self, address: Any) -> int:
             super().connect_ex(address)
             return errno.EINTR
 
-    with Desk() as desk:
+    with Desk() as harness:
 
-        def interrupted() -> socket.socket:
-            return Interrupted(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+        def interrupted_tcp() -> socket.socket:
+            return InterruptedSocket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
-        monkeypatch.setattr(desk.node.loop.machine, "tcp", interrupted)
-        client = desk.ask()
-        upstream = desk.accept()
-        desk.read(upstream)
+        monkeypatch.setattr(harness.node.loop.machine, "tcp", interrupted_tcp)
+        client = harness.ask()
+        upstream = harness.accept()
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200
+        assert harness.reply(client) == 200
 
 
-def test_epoll_without_room_ends_one_connection_and_not_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
-    """ENOSPC went through the turn and ended the process."""
-    loop, seen = Loop(Clock()), []
+def test_enospc_of_epoll_ends_one_connection_and_not_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
+    """ENOSPC was raised out of the loop's turn and ended the process."""
+    loop, errors = Loop(Clock()), []
     first, second = socket.socketpair()
     watch = loop.watch
 
-    def fails(fd: int, events: int) -> None:
+    def failing_watch(fd: int, events: int) -> None:
         if fd == second.fileno():
             raise OSError(errno.ENOSPC, "no space left on device")
         watch(fd, events)
 
-    def converse() -> Coroutine:
+    def read_from_both() -> Coroutine:
         yield Wait(first.fileno(), READ)
         try:
             yield Wait(second.fileno(), READ)
         except OSError as error:
-            seen.append(error.errno)
+            errors.append(error.errno)
 
-    monkeypatch.setattr(loop, "watch", fails)
-    loop.spawn(converse())
+    monkeypatch.setattr(loop, "watch", failing_watch)
+    loop.spawn(read_from_both())
     second.send(b"x")
     loop.turn()
-    assert seen == [errno.ENOSPC]
+    assert errors == [errno.ENOSPC]
     for sock in (first, second):
         sock.close()
     loop.epoll.close()
 
 
-def test_what_is_lacked_at_the_start_is_had_a_moment_later() -> None:
+def test_startup_retries_a_temporary_lack_of_resources_and_no_other_error() -> None:
     errors = [errno.ENFILE, errno.EADDRINUSE, errno.ENOBUFS]
 
     def make() -> str:
@@ -125,17 +127,17 @@
         retry_lack(lambda: socket.socket(socket.AF_INET, socket.SOCK_RAW, 255) and os.open("/nowhere", 0))
 
 
-def test_a_configuration_that_cannot_be_read_for_a_moment_is_read_again() -> None:
-    """It names the discovery that is followed from now on; the old one closes, and drains were missed."""
-    with Desk() as desk:
-        again, errors = desk.node.again, [OSError(errno.EIO, "input/output error")] * 3
+def test_a_reload_that_temporarily_cannot_read_the_configuration_is_retried() -> None:
+    """The file may name another discovery service; the previous one closes, and drains were missed."""
+    with Desk() as harness:
+        read_configuration, errors = harness.node.again, [OSError(errno.EIO, "input/output error")] * 3
 
-        def fails() -> Any:
+        def failing_read() -> Any:
             if errors:
                 raise errors.pop()
-            return again()
+            return read_configuration()
 
-        desk.node.again = fails
-        desk.config |= {"discovery": "127.0.0.1:2"}
-        desk.node.renew()
-        desk.turn(lambda: desk.node.discovery.at == ("127.0.0.1", 2))
+        harness.node.again = failing_read
+        harness.config |= {"discovery": "127.0.0.1:2"}
+        harness.node.renew()
+        harness.turn(lambda: harness.node.discovery.at == ("127.0.0.1", 2))
