--- a/maddercart/gateway/__init__.py
+++ b/maddercart/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Listeners, routes, pools and limits from an operator's file, round the same decisions."""
+"""An HTTP gateway that is configured by a file and balances load as the sidecar does."""
--- a/maddercart/gateway/check.py
+++ b/maddercart/gateway/check.py
@@ -1,4 +1,4 @@
-"""Whether a gateway's file can be used: everything that is wrong with it at once, each with its key."""
+"""Checks the gateway's configuration beyond its types; reports all problems, each with its key."""
 
 import ipaddress
 import re
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from maddercart.gateway.file import (
-    FileError,
-    Gateway,
+    ConfigFileError,
+    GatewayConfig,
     MembersFile,
     Pool,
     Route,
@@ -15,180 +15,199 @@
     convert,
     read_toml,
 )
-from maddercart.gateway.routes import Table, segments
-from maddercart.gateway.targets import BadTarget, plain
+from maddercart.gateway.routes import RouteTable, path_segments
+from maddercart.gateway.targets import BadTarget, normalize_path
 from maddercart.net.sockets import address
 
-Wrong = list[tuple[str, str]]
+Problems = list[tuple[str, str]]  # key, reason
 TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-HOST = re.compile(r"(\*\.)?[a-z0-9_]([a-z0-9_.-]*[a-z0-9_])?")
-TEMPLATE = re.compile(r"\{[A-Za-z][A-Za-z0-9_]*\}")
+HOST_PATTERN = re.compile(r"(\*\.)?[a-z0-9_]([a-z0-9_.-]*[a-z0-9_])?")
+PATH_PARAMETER = re.compile(r"\{[A-Za-z][A-Za-z0-9_]*\}")
 
 
-def read_gateway(path: Path) -> Gateway:
-    """Raises `FileError` with all that is wrong."""
+def read_gateway(path: Path) -> GatewayConfig:
+    """Reads and checks a configuration file. Raises `ConfigFileError` with all problems."""
     tree = read_toml(path)
-    read, wrong = convert(tree, Gateway)
-    if read is None:
-        raise FileError(str(path), wrong)
-    if wrong := check(read, path.parent):
-        raise FileError(str(path), wrong)
-    checked: Gateway = read
-    return checked
+    converted, problems = convert(tree, GatewayConfig)
+    if converted is None:
+        raise ConfigFileError(str(path), problems)
+    if problems := check_gateway(converted, path.parent):
+        raise ConfigFileError(str(path), problems)
+    config: GatewayConfig = converted
+    return config
 
 
 def read_members(path: Path, pool: Pool) -> list[Server]:
-    """The servers of a watched file. Raises `FileError`."""
-    read, wrong = convert(read_toml(path), MembersFile)
-    if read is None or (wrong := list(servers("servers", read.servers, pool))):
-        raise FileError(str(path), wrong)
-    return list(read.servers)
-
-
-def check(gateway: Gateway, folder: Path) -> Wrong:
-    wrong: Wrong = []
-    for key, those in (
-        ("listeners", gateway.listeners),
-        ("pools", gateway.pools),
-        ("routes", gateway.routes),
+    """Reads and checks the members file of a pool. Raises `ConfigFileError` with all problems."""
+    converted, problems = convert(read_toml(path), MembersFile)
+    if converted is None or (problems := list(check_servers("servers", converted.servers, pool))):
+        raise ConfigFileError(str(path), problems)
+    return list(converted.servers)
+
+
+def check_gateway(config: GatewayConfig, base_dir: Path) -> Problems:
+    """All problems of a configuration; `base_dir` is where relative members files are looked up."""
+    problems: Problems = []
+    for key, tables in (
+        ("listeners", config.listeners),
+        ("pools", config.pools),
+        ("routes", config.routes),
     ):
-        names = [one.name for one in those]
-        wrong += [
-            (f"{key}[{n}].name", f"{name!r} is there twice")
+        names = [table.name for table in tables]
+        problems += [
+            (f"{key}[{n}].name", f"{name!r} is a duplicate name")
             for n, name in enumerate(names)
             if name in names[:n]
         ]
-    addresses: dict[str, int] = {}
-    for n, listener in enumerate(gateway.listeners):
-        wrong += addressed(f"listeners[{n}].address", listener.address)
+    addresses: dict[str, int] = {}  # index of the first listener with each address
+    for n, listener in enumerate(config.listeners):
+        problems += check_address(f"listeners[{n}].address", listener.address)
         if not listener.address.endswith(":0") and addresses.setdefault(listener.address, n) != n:
-            wrong.append(
-                (f"listeners[{n}].address", f"is that of listeners[{addresses[listener.address]}] too")
+            problems.append(
+                (
+                    f"listeners[{n}].address",
+                    f"is also the address of listeners[{addresses[listener.address]}]",
+                )
             )
         if listener.ready and not listener.ready.startswith("/"):
-            wrong.append((f"listeners[{n}].ready", f"{listener.ready!r} is no path"))
-    for n, pool in enumerate(gateway.pools):
-        wrong += pooled(f"pools[{n}]", pool, folder)
-    for n, pool in enumerate(gateway.pools):
-        effects = {route.effect for route in gateway.routes if pool.name in [to.pool for to in route.to]}
+            problems.append((f"listeners[{n}].ready", f"{listener.ready!r} is not a path"))
+    for n, pool in enumerate(config.pools):
+        problems += check_pool(f"pools[{n}]", pool, base_dir)
+    for n, pool in enumerate(config.pools):
+        effects = {route.effect for route in config.routes if pool.name in [to.pool for to in route.to]}
         if effects == {"irreversible"} and not pool.probe:
-            # Guards against a server that is left out for ever: no query may be risked to see if it is back.
-            wrong.append(
-                (f"pools[{n}].probe", "is needed: all its routes are irreversible, and none can be a canary")
+            # An irreversible query must not be risked as a canary: without probes, a server that was ejected
+            # would never be used again.
+            problems.append(
+                (
+                    f"pools[{n}].probe",
+                    "is required: all its routes are irreversible and cannot provide canaries",
+                )
             )
-    for n, route in enumerate(gateway.routes):
-        wrong += routed(f"routes[{n}]", route, gateway)
-    if not wrong:
-        for one, two in Table(gateway.routes).ties():
-            names = [gateway.routes[place].name for place in (one, two)]
-            why = f"{names[1]!r} and {names[0]!r} (routes[{one}]) take the same requests, as specific"
-            wrong.append((f"routes[{two}]", why))
-    return wrong
+    for n, route in enumerate(config.routes):
+        problems += check_route(f"routes[{n}]", route, config)
+    if not problems:
+        for first, second in RouteTable(config.routes).ambiguous_pairs():
+            names = [config.routes[route_index].name for route_index in (first, second)]
+            reason = (
+                f"{names[1]!r} and {names[0]!r} (routes[{first}]) match the same requests and are equally "
+                "specific"
+            )
+            problems.append((f"routes[{second}]", reason))
+    return problems
 
 
-def addressed(key: str, text: str, dialled: bool = False) -> Wrong:
+def check_address(key: str, text: str, dialled: bool = False) -> Problems:
+    """Problems of an IPv4 address with port; port 0 is accepted unless the address is `dialled`."""
     try:
         host, _ = address(text)
-        ipaddress.IPv4Address(host)  # a name would be looked up, which blocks
+        ipaddress.IPv4Address(host)  # host names are not accepted, since resolving them would block the loop
     except ValueError:
-        return [(key, f"{text!r} is no IPv4 address with a port")]
+        return [(key, f"{text!r} is not an IPv4 address with a port")]
     return [(key, "has port 0")] if dialled and text.endswith(":0") else []
 
 
-def pooled(key: str, pool: Pool, folder: Path) -> Iterable[tuple[str, str]]:
-    given = [name for name in ("servers", "file", "discovery") if getattr(pool, name)]
-    if len(given) != 1:
-        had = "none" if not given else " and ".join(given)
-        yield key, f"its members come from one of servers, file and discovery; here from {had}"
+def check_pool(key: str, pool: Pool, base_dir: Path) -> Iterable[tuple[str, str]]:
+    sources = [name for name in ("servers", "file", "discovery") if getattr(pool, name)]
+    if len(sources) != 1:
+        given = "none" if not sources else " and ".join(sources)
+        yield key, f"needs exactly one of servers, file and discovery, but has {given}"
     for name in ("zones", "kinds"):
-        if len(set(those := getattr(pool, name))) < len(those):
-            yield f"{key}.{name}", "names one twice"
+        if len(set(values := getattr(pool, name))) < len(values):
+            yield f"{key}.{name}", "contains a duplicate name"
     if pool.zone and pool.zone not in pool.zones:
         yield (
             f"{key}.zone",
-            f"{pool.zone!r} is none of its zones ({', '.join(pool.zones) or 'none is named'})",
+            f"{pool.zone!r} is not one of the pool's zones ({', '.join(pool.zones) or 'it names none'})",
         )
     if pool.number >= pool.sidecars:
-        yield f"{key}.number", f"{pool.number} is no number among {pool.sidecars} sidecars: they count from 0"
+        yield (
+            f"{key}.number",
+            f"{pool.number} is not below the {pool.sidecars} sidecars, which are counted from 0",
+        )
     if pool.adaptive and pool.adaptive.least > pool.adaptive.most:
-        yield f"{key}.adaptive.least", "is more than `most`"
+        yield f"{key}.adaptive.least", "is greater than `most`"
     if pool.discovery:
-        yield from addressed(f"{key}.discovery", pool.discovery, dialled=True)
-    yield from servers(f"{key}.servers", pool.servers, pool)
+        yield from check_address(f"{key}.discovery", pool.discovery, dialled=True)
+    yield from check_servers(f"{key}.servers", pool.servers, pool)
     if pool.probe and not pool.probe.startswith("/"):
-        yield f"{key}.probe", f"{pool.probe!r} is no path"
+        yield f"{key}.probe", f"{pool.probe!r} is not a path"
     if pool.file:
         try:
-            read_members(folder / pool.file, pool)
-        except FileError as error:
-            yield from ((f"{key}.file", f"{pool.file}: {at}: {why}" if at else f"{pool.file}: {why}")
-                        for at, why in error.wrong)  # fmt: skip
+            read_members(base_dir / pool.file, pool)
+        except ConfigFileError as error:
+            yield from ((f"{key}.file", f"{pool.file}: {at}: {reason}" if at else f"{pool.file}: {reason}")
+                        for at, reason in error.problems)  # fmt: skip
 
 
-def servers(key: str, those: Sequence[Server], pool: Pool) -> Iterable[tuple[str, str]]:
-    names: dict[str, int] = {}
-    for n, server in enumerate(those):
-        yield from addressed(f"{key}[{n}].address", server.address, dialled=True)
+def check_servers(key: str, servers: Sequence[Server], pool: Pool) -> Iterable[tuple[str, str]]:
+    names: dict[str, int] = {}  # index of the first server with each name
+    for n, server in enumerate(servers):
+        yield from check_address(f"{key}[{n}].address", server.address, dialled=True)
         if names.setdefault(name := server.name or server.address, n) != n:
-            yield f"{key}[{n}]", f"{name!r} is {key}[{names[name]}] already"
+            yield f"{key}[{n}]", f"{name!r} is already the name of {key}[{names[name]}]"
         if server.zone and server.zone not in pool.zones:
-            yield f"{key}[{n}].zone", f"{server.zone!r} is none of the pool's zones"
+            yield f"{key}[{n}].zone", f"{server.zone!r} is not one of the pool's zones"
         if server.kind and server.kind not in pool.kinds:
-            yield f"{key}[{n}].kind", f"{server.kind!r} is none of the pool's kinds"
+            yield f"{key}[{n}].kind", f"{server.kind!r} is not one of the pool's kinds"
 
 
-def routed(key: str, route: Route, gateway: Gateway) -> Iterable[tuple[str, str]]:
+def check_route(key: str, route: Route, config: GatewayConfig) -> Iterable[tuple[str, str]]:
     pools, listeners = (
-        [pool.name for pool in gateway.pools],
-        [listener.name for listener in gateway.listeners],
+        [pool.name for pool in config.pools],
+        [listener.name for listener in config.listeners],
     )
     for n, target in enumerate(route.to):
         if target.pool not in pools:
             yield f"{key}.to[{n}].pool", f"there is no pool {target.pool!r}"
     if len({target.pool for target in route.to}) < len(route.to):
-        yield f"{key}.to", "names a pool twice"
+        yield f"{key}.to", "names a pool more than once"
     for name in route.listeners:
         if name not in listeners:
             yield f"{key}.listeners", f"there is no listener {name!r}"
-    if route.host and not HOST.fullmatch(route.host.lower()):
-        yield f"{key}.host", f"{route.host!r} is neither a name nor *.name"
+    if route.host and not HOST_PATTERN.fullmatch(route.host.lower()):
+        yield f"{key}.host", f"{route.host!r} is neither a host name nor of the form *.name"
     if route.path and route.prefix:
-        yield f"{key}.prefix", "and `path`: it is one or the other"
+        yield f"{key}.prefix", "cannot be combined with `path`"
     for name in ("path", "prefix"):
         if text := getattr(route, name):
-            yield from pathed(f"{key}.{name}", text, name == "path")
+            yield from check_path(f"{key}.{name}", text, name == "path")
     for method in route.methods:
         if not TOKEN.fullmatch(method):
-            yield f"{key}.methods", f"{method!r} is no method"
+            yield f"{key}.methods", f"{method!r} is not a valid method"
     lowered = [name.lower() for name in route.headers]
     for name in route.headers:
         if not TOKEN.fullmatch(name) or lowered.count(name.lower()) > 1:
-            yield f"{key}.headers", f"{name!r} is no header's name, or is there twice"
+            yield f"{key}.headers", f"{name!r} is not a valid header name or is a duplicate"
     if route.stop < route.agreed:
-        yield f"{key}.stop", f"{route.stop:g} s is before the agreed time, {route.agreed:g} s"
+        yield f"{key}.stop", f"{route.stop:g} s is less than the agreed time, {route.agreed:g} s"
     for n, limit in enumerate(route.limits):
         if limit.key not in ("client", "route") and not re.fullmatch(r"header:" + TOKEN.pattern, limit.key):
             yield f"{key}.limits[{n}].key", f"{limit.key!r} is none of client, route and header:NAME"
 
 
-def pathed(key: str, text: str, template: bool) -> Iterable[tuple[str, str]]:
+def check_path(key: str, text: str, parameters_allowed: bool) -> Iterable[tuple[str, str]]:
+    """Problems of a route's `path`, which may contain parameters such as {x}, or of its `prefix`."""
     if not text.startswith("/"):
         yield key, f"{text!r} does not begin with /"
         return
-    names = [segment for segment in segments(text) if "{" in segment or "}" in segment]
-    if names and not template:
-        yield key, "has {}, which stand in `path` alone"
+    parameters = [segment for segment in path_segments(text) if "{" in segment or "}" in segment]
+    if parameters and not parameters_allowed:
+        yield key, "contains {}, which is allowed in `path` only"
         return
-    for segment in names:
-        if not TEMPLATE.fullmatch(segment):
-            yield key, f"{segment!r} is no whole segment in {{}}"
-    if len(set(names)) < len(names):
-        yield key, "names one {} twice"
-    if not template and text != "/" and text.endswith("/"):
-        yield key, "ends with /: whole segments are compared, so leave it out"
-    bare = "/".join("x" if segment in names else segment for segment in text.split("/"))
+    for segment in parameters:
+        if not PATH_PARAMETER.fullmatch(segment):
+            yield key, f"{segment!r} is not a whole segment in {{}}"
+    if len(set(parameters)) < len(parameters):
+        yield key, "uses one {} name more than once"
+    if not parameters_allowed and text != "/" and text.endswith("/"):
+        yield key, "ends with /; leave it out, since a prefix is compared by whole segments"
+    literal = "/".join("x" if segment in parameters else segment for segment in text.split("/"))
     try:
-        if plain(bare) != bare:
-            yield key, f"is written {plain(bare)!r} in requests' one form"
+        if normalize_path(literal) != literal:
+            yield (
+                key,
+                f"must be written {normalize_path(literal)!r}, as in normalized requests",
+            )
     except BadTarget as error:
         yield key, str(error).replace("the path", "it")
--- a/maddercart/gateway/commands.py
+++ b/maddercart/gateway/commands.py
@@ -1,4 +1,4 @@
-"""`maddercart gateway ...`, `routes ...`, `config ...`; what a command needs is imported as it runs."""
+"""The commands `gateway`, `routes` and `config`; modules are imported by the command that needs them."""
 
 import logging
 from pathlib import Path
@@ -10,143 +10,157 @@
 from maddercart.sidecar import logs
 
 if TYPE_CHECKING:
-    from maddercart.gateway.file import Gateway
+    from maddercart.gateway.file import GatewayConfig
 
-gateway = typer.Typer(help="Listeners, routes, pools and limits from one file.", no_args_is_help=True)
-routes = typer.Typer(help="What a file's routes do.", no_args_is_help=True)
-config = typer.Typer(help="What a file says.", no_args_is_help=True)
+gateway = typer.Typer(help="Runs an HTTP gateway from a configuration file.", no_args_is_help=True)
+routes = typer.Typer(help="Inspects the routes of a gateway configuration.", no_args_is_help=True)
+config = typer.Typer(help="Shows a gateway configuration and its reference.", no_args_is_help=True)
 log = logging.getLogger(__name__)
 
-UNFIT = 2
-File = Annotated[Path, typer.Argument(envvar="MADDERCART_GATEWAY", help="the gateway's file, TOML")]
+EXIT_UNUSABLE_CONFIG = 2
+FileArgument = Annotated[
+    Path, typer.Argument(envvar="MADDERCART_GATEWAY", help="gateway configuration file (TOML)")
+]
 FileOption = Annotated[
-    Path, typer.Option("--file", envvar="MADDERCART_GATEWAY", help="the gateway's file, TOML")
+    Path, typer.Option("--file", envvar="MADDERCART_GATEWAY", help="gateway configuration file (TOML)")
 ]
-Json = Annotated[bool, typer.Option("--json", help="as JSON")]
+JsonOption = Annotated[bool, typer.Option("--json", help="print JSON")]
 
 
 @gateway.command()
-def serve(file: File) -> None:
-    """Serves until SIGTERM; SIGHUP has the file read again, as a whole or not at all."""
-    from maddercart.gateway.file import FileError
+def serve(file: FileArgument) -> None:
+    """Serves until SIGTERM; SIGHUP reloads the file, which is applied as a whole or not at all."""
+    from maddercart.gateway.file import ConfigFileError
     from maddercart.gateway.node import GatewayNode
 
-    read = usable(file)
-    lines, code = logs.start(read.log.level, read.log.form), 0
+    gateway_config = read_or_exit(file)
+    lines, code = logs.start(gateway_config.log.level, gateway_config.log.form), 0
     try:
         GatewayNode(file).run()
-    except (OSError, FileError) as error:
-        log.error("gateway can't start", extra={"reason": str(error)})
-        code = UNFIT
+    except (OSError, ConfigFileError) as error:
+        log.error("gateway failed to start", extra={"reason": str(error)})
+        code = EXIT_UNUSABLE_CONFIG
     except Exception:
-        log.exception("gateway failed")
+        log.exception("gateway stopped by an unexpected error")
         code = 1
     logs.flush(lines)
     raise typer.Exit(code)
 
 
 @gateway.command()
-def check(file: File, json: Json = False) -> None:
-    """Says whether a file can be used, and all that is wrong with it."""
+def check(file: FileArgument, json: JsonOption = False) -> None:
+    """Checks a configuration file and prints all its problems; exits with code 2 if there are any."""
     from maddercart.gateway.check import read_gateway
-    from maddercart.gateway.file import FileError
+    from maddercart.gateway.file import ConfigFileError
 
     try:
-        read = read_gateway(file)
-    except FileError as error:
+        gateway_config = read_gateway(file)
+    except ConfigFileError as error:
         if json:
-            wrong = [{"file": error.source, "key": key, "reason": why} for key, why in error.wrong]
+            wrong = [{"file": error.source, "key": key, "reason": reason} for key, reason in error.problems]
             typer.echo(msgspec.json.encode({"usable": False, "wrong": wrong}).decode())
         else:
             typer.echo(str(error), err=True)
-        raise typer.Exit(UNFIT) from error
-    told = {"listeners": len(read.listeners), "routes": len(read.routes), "pools": len(read.pools)}
+        raise typer.Exit(EXIT_UNUSABLE_CONFIG) from error
+    counts = {
+        "listeners": len(gateway_config.listeners),
+        "routes": len(gateway_config.routes),
+        "pools": len(gateway_config.pools),
+    }
     if json:
-        typer.echo(msgspec.json.encode({"usable": True, **told}).decode())
+        typer.echo(msgspec.json.encode({"usable": True, **counts}).decode())
     else:
-        typer.echo(f"{file}: " + ", ".join(f"{count} {name}" for name, count in told.items()))
+        typer.echo(f"{file}: " + ", ".join(f"{count} {name}" for name, count in counts.items()))
 
 
-def usable(file: Path) -> "Gateway":
+def read_or_exit(file: Path) -> "GatewayConfig":
+    """Reads a configuration file; prints its problems and exits with code 2 if it is unusable."""
     from maddercart.gateway.check import read_gateway
-    from maddercart.gateway.file import FileError
+    from maddercart.gateway.file import ConfigFileError
 
     try:
         return read_gateway(file)
-    except FileError as error:
+    except ConfigFileError as error:
         typer.echo(str(error), err=True)
-        raise typer.Exit(UNFIT) from error
+        raise typer.Exit(EXIT_UNUSABLE_CONFIG) from error
 
 
 @routes.command()
 def explain(
     method: str, url: str, file: FileOption,
-    header: Annotated[list[str] | None, typer.Option(help="NAME: VALUE")] = None,
-    listener: Annotated[str, typer.Option(help="of which it comes; empty: the file's first")] = "",
-    json: Json = False,
+    header: Annotated[list[str] | None, typer.Option(help="request header as NAME: VALUE")] = None,
+    listener: Annotated[
+        str, typer.Option(help="listener that receives the request; empty: the first one in the file")
+    ] = "",
+    json: JsonOption = False,
 ) -> None:  # fmt: skip
-    """Which route a request takes, to which pools, on what terms; exit code 1 if it has none."""
+    """Shows the route, pools and terms of a request; exits with code 1 if no route matches."""
     from maddercart.gateway.front import Routing
-    from maddercart.gateway.targets import BadTarget, wanted
+    from maddercart.gateway.targets import BadTarget, parse_target
     from maddercart.http.application import Request
 
-    read = usable(file)
-    headers = [tuple(part.strip().encode() for part in one.partition(":")[::2]) for one in header or []]
+    gateway_config = read_or_exit(file)
+    headers = [tuple(part.strip().encode() for part in text.partition(":")[::2]) for text in header or []]
     hosts = [value for name, value in headers if name.lower() == b"host"]
     routing = Routing(lambda: 0, 1)
-    routing.renew(read.routes, {}, read.log)
-    told: dict[str, Any] = {"method": method.upper(), "url": url}
+    routing.reconfigure(gateway_config.routes, {}, gateway_config.log)
+    result: dict[str, Any] = {"method": method.upper(), "url": url}
     try:
-        want = wanted(url.encode(), hosts[0] if hosts else None)
+        request_target = parse_target(url.encode(), hosts[0] if hosts else None)
     except BadTarget as error:
-        told |= {"answer": 400, "reason": str(error)}
+        result |= {"answer": 400, "reason": str(error)}
     else:
         request = Request(method.upper().encode(), url.encode(), headers, b"")  # type: ignore[arg-type]
-        found, _ = routing.find(listener or read.listeners[0].name, request, want)
-        told |= {"host": want.host, "path": want.path, "sent_on_as": want.target}
-        if found.route is None:
-            told |= {"answer": 405, "only": list(found.methods)} if found.methods else {"answer": 404}
+        route_match, _ = routing.find(listener or gateway_config.listeners[0].name, request, request_target)
+        result |= {
+            "host": request_target.host, "path": request_target.path, "sent_on_as": request_target.target,
+        }  # fmt: skip
+        if route_match.route_index is None:
+            result |= (
+                {"answer": 405, "only": list(route_match.methods)} if route_match.methods else {"answer": 404}
+            )
         else:
-            route = read.routes[found.route]
-            whole = sum(target.weight for target in route.to)
-            told |= {
-                "route": route.name, "at": f"routes[{found.route}]",
-                "pools": {target.pool: round(target.weight / whole, 6) for target in route.to},
+            route = gateway_config.routes[route_match.route_index]
+            total_weight = sum(target.weight for target in route.to)
+            result |= {
+                "route": route.name, "at": f"routes[{route_match.route_index}]",
+                "pools": {target.pool: round(target.weight / total_weight, 6) for target in route.to},
                 "effect": route.effect, "agreed": route.agreed, "stop": route.stop,
                 "dispatches": route.dispatches, "body": route.body, "held": route.held,
-                "limits": [f"{one.rate:g} a second by {one.key}" for one in route.limits],
+                "limits": [f"{limit.rate:g} a second by {limit.key}" for limit in route.limits],
             }  # fmt: skip
     if json:
-        typer.echo(msgspec.json.encode(told).decode())
+        typer.echo(msgspec.json.encode(result).decode())
     else:
-        for name, value in told.items():
+        for name, value in result.items():
             typer.echo(f"{name:11} {value}")
-    if "route" not in told:
+    if "route" not in result:
         raise typer.Exit(1)
 
 
 @config.command()
-def show(file: FileOption, json: Json = False) -> None:
-    """All keys of a file, with what those that are left out are taken to be."""
-    tree = msgspec.to_builtins(usable(file))
+def show(file: FileOption, json: JsonOption = False) -> None:
+    """Shows all keys of a file with their values, including defaults."""
+    tree = msgspec.to_builtins(read_or_exit(file))
     if json:
         typer.echo(msgspec.json.format(msgspec.json.encode(tree)).decode())
     else:
-        for key, value in flat(tree, ""):
+        for key, value in flatten(tree, ""):
             typer.echo(f"{key} = {value}")
 
 
 @config.command()
 def reference() -> None:
-    """The reference page of the file's keys."""
-    from maddercart.gateway.reference import page
+    """Prints the reference page of the configuration file in Markdown."""
+    from maddercart.gateway.reference import render_page
 
-    typer.echo(page(), nl=False)
+    typer.echo(render_page(), nl=False)
 
 
-def flat(tree: Any, at: str) -> list[tuple[str, str]]:
+def flatten(tree: Any, at: str) -> list[tuple[str, str]]:
+    """Pairs of key and JSON value for each leaf of `tree`, whose own key is `at`."""
     if isinstance(tree, dict) and tree:
-        return [pair for key, value in tree.items() for pair in flat(value, f"{at}.{key}" if at else key)]
+        return [pair for key, value in tree.items() for pair in flatten(value, f"{at}.{key}" if at else key)]
     if isinstance(tree, list) and tree and isinstance(tree[0], dict):
-        return [pair for n, value in enumerate(tree) for pair in flat(value, f"{at}[{n}]")]
+        return [pair for n, value in enumerate(tree) for pair in flatten(value, f"{at}[{n}]")]
     return [(at, msgspec.json.encode(tree).decode())]
--- a/maddercart/gateway/file.py
+++ b/maddercart/gateway/file.py
@@ -1,6 +1,7 @@
-"""The gateway's file: TOML, read into typed values. Lengths of time are seconds, rates a second, sizes bytes.
+"""The gateway's configuration file: TOML that is read into typed structs.
 
-The reference page is made from these types: the text that each field's type is annotated with stands there.
+Durations are in seconds, rates per second and sizes in bytes. The reference page is generated from these
+types: a field is described by the text in its annotation, a table by its docstring.
 """
 
 import tomllib
@@ -10,164 +11,212 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-Time = Annotated[float, Meta(ge=0, le=1e6)]
-Span = Annotated[float, Meta(gt=0, le=1e6)]
-Rate = Annotated[float, Meta(ge=0, le=1e9)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+Duration = Annotated[float, Meta(ge=0, le=1e6)]
+PositiveNumber = Annotated[float, Meta(gt=0, le=1e6)]
+Earnings = Annotated[float, Meta(ge=0, le=1e9)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=0, le=10_000_000)]
-Some = Annotated[int, Meta(ge=1, le=10_000_000)]
+PositiveCount = Annotated[int, Meta(ge=1, le=10_000_000)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
 
 
-class Part(Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of the file."""
+class ConfigTable(Struct, frozen=True, forbid_unknown_fields=True):
+    """Base class of all tables of the file."""
 
 
-class Process(Part, frozen=True):
-    name: Annotated[Name, "what this process calls itself in its log lines"] = "gateway"
-    seed: Annotated[Count, "of all chance in decisions; 0: drawn at the start"] = 0
-    descriptors: Annotated[Some, "connections on both sides may use so many, less a reserve of 32"] = 1024
-    memory_mb: Annotated[Span, "a part of it holds bodies that are coming in"] = 192.0
+class Process(ConfigTable, frozen=True):
+    name: Annotated[Name, "name of this process in log lines"] = "gateway"
+    seed: Annotated[Count, "seed of random decisions; 0: a random seed at each start"] = 0
+    descriptors: Annotated[
+        PositiveCount,
+        "file descriptors available for connections to clients and upstreams, including a reserve of 32",
+    ] = 1024
+    memory_mb: Annotated[PositiveNumber, "memory in MB; a share of it is for incoming bodies"] = 192.0
 
 
-class Log(Part, frozen=True):
-    form: Annotated[Literal["logfmt", "json"], "key=value, or a JSON object a line"] = "logfmt"
-    level: Annotated[Literal["DEBUG", "INFO", "WARNING", "ERROR"], "the least that is written"] = "INFO"
+class Log(ConfigTable, frozen=True):
+    form: Annotated[Literal["logfmt", "json"], "line format: key=value pairs or one JSON object per line"] = (
+        "logfmt"
+    )
+    level: Annotated[Literal["DEBUG", "INFO", "WARNING", "ERROR"], "lowest level that is logged"] = "INFO"
     access: Annotated[
-        Share, "of the queries, the share for which a line is written; the same ids on each run"
+        Fraction, "fraction of queries that get an access log line; sampled by id, the same in each run"
     ] = 0.0
 
 
-class Rated(Part, frozen=True):
-    """A limit on a rate, for each key by itself; what is over is bounced at once."""
+class RateLimit(ConfigTable, frozen=True):
+    """A rate limit that applies to each key separately; queries over it are bounced at once."""
 
-    rate: Annotated[Annotated[float, Meta(gt=0, le=1e9)], "queries a second for each key"]
-    burst: Annotated[Annotated[float, Meta(ge=1, le=1e9)], "saved up at most"] = 1.0
-    key: Annotated[str, 'what is limited: "client" (its address), "route", or "header:NAME"'] = "client"
-    keys: Annotated[Some, "known at once; further ones share a table, which may limit them sooner"] = 100_000
+    rate: Annotated[Annotated[float, Meta(gt=0, le=1e9)], "queries per second for each key"]
+    burst: Annotated[
+        Annotated[float, Meta(ge=1, le=1e9)], "most queries that a key may send at once, after a pause"
+    ] = 1.0
+    key: Annotated[
+        str, 'what is limited: "client" (the client\'s address), "route", or "header:NAME" (its value)'
+    ] = "client"
+    keys: Annotated[
+        PositiveCount, "keys tracked individually; further keys share buckets and may be limited sooner"
+    ] = 100_000
 
 
-class Adaptive(Part, frozen=True):
-    """A limit on queries held that follows the answers' times."""
+class AdaptiveLimit(ConfigTable, frozen=True):
+    """A limit on concurrently held queries that adapts to the latency of answers."""
 
-    least: Annotated[Some, "held, at the least"] = 8
-    most: Annotated[Some, "held, at the most"] = 4096
+    least: Annotated[PositiveCount, "lower bound and initial value of the limit"] = 8
+    most: Annotated[PositiveCount, "upper bound of the limit"] = 4096
     tolerance: Annotated[
-        Annotated[float, Meta(gt=1, le=100)], "answers may take so many times what they do unhurried"
+        Annotated[float, Meta(gt=1, le=100)],
+        "the limit is lowered when the median latency exceeds the unloaded one by this factor",
     ] = 2.0
 
 
-class Listener(Part, frozen=True):
-    name: Annotated[Name, "what routes call it"]
-    address: Annotated[str, "host:port to listen at"]
-    front: Annotated[Literal["http"], "the protocol of its clients"] = "http"
-    ready: Annotated[str, "a path that answers 200 once queries can be served; empty: none"] = "/-/ready"
-    connections: Annotated[Count, "at most; 0: half of the process's descriptors"] = 0
+class Listener(ConfigTable, frozen=True):
+    name: Annotated[Name, "name by which routes refer to the listener"]
+    address: Annotated[str, "host:port to listen on"]
+    front: Annotated[Literal["http"], "protocol of the clients"] = "http"
+    ready: Annotated[str, "path that answers 200 once queries can be served; empty: no such path"] = (
+        "/-/ready"
+    )
+    connections: Annotated[
+        Count,
+        "maximum number of client connections; 0: an even share of half of the process's descriptors",
+    ] = 0
 
 
-class Target(Part, frozen=True):
-    pool: Annotated[str, "the pool's name"]
-    weight: Annotated[Annotated[float, Meta(gt=0, le=1e9)], "its share beside the route's other targets"] = (
-        1.0
-    )
+class Target(ConfigTable, frozen=True):
+    pool: Annotated[str, "name of the pool"]
+    weight: Annotated[
+        Annotated[float, Meta(gt=0, le=1e9)], "share of queries, relative to the route's other targets"
+    ] = 1.0
 
 
-class Route(Part, frozen=True):
-    """Which queries it takes (the most specific route wins) and what holds for them."""
+class Route(ConfigTable, frozen=True):
+    """Conditions on requests, of which the most specific match wins, and the terms of its queries."""
 
-    name: Annotated[Name, "what log lines and limits call it"]
-    to: Annotated[Annotated[list[Target], Meta(min_length=1)], "pools, drawn by weight"]
-    listeners: Annotated[list[str], "of these alone; empty: of all"] = field(default_factory=list)
-    host: Annotated[str, "a name, or *.name for all below it; empty: any. No port"] = ""
-    path: Annotated[str, "the whole path; {x} stands for one segment; empty with `prefix`"] = ""
-    prefix: Annotated[str, "the path begins with these whole segments"] = ""
-    methods: Annotated[list[str], "empty: any"] = field(default_factory=list)
-    headers: Annotated[dict[str, str], "each must be there once, with this value; * for any"] = field(
-        default_factory=dict
-    )
-    effect: Annotated[Literal["redoable", "labelled", "irreversible"], "what a repeat would do"] = (
-        "irreversible"
+    name: Annotated[Name, "name of the route in log lines; limits keep their state by it across reloads"]
+    to: Annotated[Annotated[list[Target], Meta(min_length=1)], "target pools, chosen at random by weight"]
+    listeners: Annotated[list[str], "listeners that the route applies to; empty: all"] = field(
+        default_factory=list
     )
+    host: Annotated[str, "host name without port, or *.name for all subdomains; empty: any host"] = ""
+    path: Annotated[str, "whole path; {x} matches one segment; empty if `prefix` is used"] = ""
+    prefix: Annotated[str, "leading part of the path; whole segments are compared"] = ""
+    methods: Annotated[list[str], "HTTP methods; empty: any"] = field(default_factory=list)
+    headers: Annotated[
+        dict[str, str], "headers that must be present exactly once with the given value; *: any value"
+    ] = field(default_factory=dict)
+    effect: Annotated[
+        Literal["redoable", "labelled", "irreversible"],
+        "redoable: may be repeated; labelled: only with its idempotency key; irreversible: never",
+    ] = "irreversible"
     group: Annotated[
-        Literal["everywhere", "zone", "cell"], "labelled: which upstreams drop each other's repeats"
+        Literal["everywhere", "zone", "cell"], "labelled: the upstreams among which repeats are deduplicated"
     ] = "cell"
-    window: Annotated[Time, "labelled: for how long they do, from the first dispatch on"] = 1.0
-    agreed: Annotated[Span, "an answer within it counts in full"] = 0.5
-    stop: Annotated[Span, "the final answer comes before it"] = 2.0
-    earnings: Annotated[Rate, "what an answer is worth beside other routes"] = 1.0
-    late_earnings: Annotated[Rate, "after the agreed time"] = 0.0
-    dispatches: Annotated[Annotated[int, Meta(ge=1, le=16)], "of one query, at most"] = 3
-    body: Annotated[Count, "of a request, at most"] = 65_536
-    held: Annotated[Count, "queries without an answer at once, at most; 0: no limit"] = 0
-    fair: Annotated[Share, "of `held` in use, from which on no client may have more than its even share"] = (
-        0.5
+    window: Annotated[
+        Duration, "labelled: how long repeats are deduplicated, counted from the first dispatch"
+    ] = 1.0
+    agreed: Annotated[PositiveNumber, "latency target: an answer within it has its full earnings"] = 0.5
+    stop: Annotated[PositiveNumber, "hard stop: the deadline of the final answer"] = 2.0
+    earnings: Annotated[Earnings, "value of an answer within the agreed time, relative to other routes"] = 1.0
+    late_earnings: Annotated[Earnings, "value of an answer after the agreed time"] = 0.0
+    dispatches: Annotated[
+        Annotated[int, Meta(ge=1, le=16)], "maximum number of dispatches of one query, including the first"
+    ] = 3
+    body: Annotated[Count, "maximum size of a request body"] = 65_536
+    held: Annotated[Count, "maximum number of queries that are held without an answer; 0: no limit"] = 0
+    fair: Annotated[
+        Fraction, "fraction of `held` in use from which no client may hold more than its even share"
+    ] = 0.5
+    limits: Annotated[list[RateLimit], "rate limits"] = field(default_factory=list)
+
+
+class Server(ConfigTable, frozen=True):
+    name: Annotated[str, "name that stays when the address changes; empty: the address"] = ""
+    address: Annotated[str, "IPv4:port of the server"] = ""
+    zone: Annotated[str, "one of the pool's zones; empty: the first one"] = ""
+    kind: Annotated[str, "one of the pool's machine kinds; empty: the first one"] = ""
+    cell: Annotated[
+        Count, "servers of a zone with the same cell number deduplicate repeats among themselves"
+    ] = 0
+    size: Annotated[Annotated[float, Meta(gt=0, le=1e6)], "capacity relative to other servers"] = 1.0
+    state: Annotated[
+        Literal["ready", "draining"], "a draining server gets no new queries; those it has are completed"
+    ] = "ready"
+
+
+class ColdStart(ConfigTable, frozen=True):
+    """Limits how much a server that has just started gets from all processes together."""
+
+    start: Annotated[
+        Annotated[float, Meta(gt=0, le=1)], "capacity right after the start, as a fraction of a warm server's"
+    ] = 0.2
+    ramp: Annotated[Duration, "time until the server is warm; 0: warm at once"] = 10.0
+    multiple: Annotated[
+        Annotated[float, Meta(gt=0, le=100)],
+        "most work in any `window`, as a multiple of what the server can do in it",
+    ] = 3.0
+    window: Annotated[PositiveNumber, "length of the sliding window for `multiple`"] = 1.0
+
+
+class RetryBudget(ConfigTable, frozen=True):
+    """A budget for dispatches after the first one, shared by all queries of a pool."""
+
+    share: Annotated[Annotated[float, Meta(ge=0, le=10)], "further dispatches per first dispatch"] = 0.2
+    burst: Annotated[
+        Annotated[float, Meta(ge=0, le=1e6)], "maximum unused budget; also the budget at the start"
+    ] = 10.0
+
+
+class Pool(ConfigTable, frozen=True):
+    """Upstreams that serve the same queries; each pool is balanced independently."""
+
+    name: Annotated[Name, "name by which routes refer to the pool"]
+    servers: Annotated[list[Server], "the pool's members, if they are listed in this file"] = field(
+        default_factory=list
     )
-    limits: Annotated[list[Rated], "on rates"] = field(default_factory=list)
-
-
-class Server(Part, frozen=True):
-    name: Annotated[str, "stays the same when the address changes; empty: the address"] = ""
-    address: Annotated[str, "IPv4:port to dial"] = ""
-    zone: Annotated[str, "one of the pool's zones; empty: the first"] = ""
-    kind: Annotated[str, "one of the pool's kinds of machines"] = ""
-    cell: Annotated[Count, "what drops repeats together, inside a zone"] = 0
-    size: Annotated[Annotated[float, Meta(gt=0, le=1e6)], "beside other servers"] = 1.0
-    state: Annotated[Literal["ready", "draining"], "draining: nothing new is sent"] = "ready"
-
-
-class Cold(Part, frozen=True):
-    """How much a server that has just started may get, from all sidecars together."""
-
-    start: Annotated[Annotated[float, Meta(gt=0, le=1)], "what it can do at once, of a warm one"] = 0.2
-    ramp: Annotated[Time, "until it is warm; 0: at once"] = 10.0
-    multiple: Annotated[Annotated[float, Meta(gt=0, le=100)], "of what it can do, over a window"] = 3.0
-    window: Annotated[Span, "any, of this length"] = 1.0
-
-
-class Budget(Part, frozen=True):
-    """Further dispatches of a pool, over all its queries."""
-
-    share: Annotated[Annotated[float, Meta(ge=0, le=10)], "of its first dispatches"] = 0.2
-    burst: Annotated[Annotated[float, Meta(ge=0, le=1e6)], "saved up at most, and there from the start"] = (
-        10.0
-    )
-
-
-class Pool(Part, frozen=True):
-    """Upstreams that do the same work, with decisions of their own."""
-
-    name: Annotated[Name, "what routes call it"]
-    servers: Annotated[list[Server], "its members, where they are given here"] = field(default_factory=list)
     file: Annotated[
-        str, "a TOML file of [[servers]], looked at each second; beside this file if relative"
+        str,
+        "TOML file with [[servers]], checked for changes every second; relative to this file's directory",
     ] = ""
-    discovery: Annotated[str, "host:port of a service that speaks the platform's protocol"] = ""
-    zone: Annotated[str, "where this process stands; empty: the first zone"] = ""
-    zones: Annotated[list[str], "empty: one, with all servers"] = field(default_factory=list)
-    kinds: Annotated[list[str], "of machines; empty: one"] = field(default_factory=list)
-    number: Annotated[Count, "of this process among those that use the pool"] = 0
-    sidecars: Annotated[Some, "how many processes use it"] = 1
-    cancel: Annotated[bool, "a dispatch may be given up for another"] = True
-    come_back: Annotated[Time, "the longest come-back time that clients are told; 0: none"] = 2.0
+    discovery: Annotated[str, "host:port of a discovery service that speaks the platform's protocol"] = ""
+    zone: Annotated[str, "zone of this process; empty: the first zone"] = ""
+    zones: Annotated[list[str], "names of the zones; empty: a single zone with all servers"] = field(
+        default_factory=list
+    )
+    kinds: Annotated[list[str], "names of the machine kinds; empty: a single kind"] = field(
+        default_factory=list
+    )
+    number: Annotated[
+        Count, "number of this process among those that use the pool, counted from 0; less than `sidecars`"
+    ] = 0
+    sidecars: Annotated[PositiveCount, "number of processes that use the pool"] = 1
+    cancel: Annotated[bool, "whether a dispatch may be cancelled in favour of another"] = True
+    come_back: Annotated[Duration, "maximum Retry-After of bounced queries; 0: none"] = 2.0
     come_back_whole: Annotated[
-        bool, "told in whole seconds, rounded up, as plain HTTP/1.1 clients read it"
+        bool, "whether Retry-After is rounded up to whole seconds, as plain HTTP/1.1 clients expect"
     ] = True
-    connect_timeout: Annotated[Span, "for a connection to come up"] = 0.25
-    idle: Annotated[Span, "after which servers close an idle connection"] = 30.0
+    connect_timeout: Annotated[PositiveNumber, "timeout for connecting to a server"] = 0.25
+    idle: Annotated[PositiveNumber, "time after which servers close idle connections"] = 30.0
     probe: Annotated[
-        str, "a path that a server which is well answers with 200; empty: canaries are queries"
+        str, "path that a healthy server answers with 200; empty: no probes, queries are used as canaries"
     ] = ""
-    probe_host: Annotated[str, "the Host of a probe; empty: the server's name"] = ""
-    answer: Annotated[Count, "bytes of a server's answer, at most; 0: a part of the memory"] = 0
+    probe_host: Annotated[str, "Host header of a probe; empty: the server's name"] = ""
+    answer: Annotated[Count, "maximum size of an answer's body; 0: a share of the process's memory"] = 0
     fresh_is_cold: Annotated[
-        bool, "a member that is new in `file` or `servers` on a reload has just started"
+        bool, "whether a server that is new in `file` or `servers` on a reload counts as just started"
     ] = True
-    cold: Annotated[Cold, "the rule on servers that have just started"] = Cold()
-    retries: Annotated[Budget | None, "no table: no limit but each route's"] = None
-    adaptive: Annotated[Adaptive | None, "no table: none"] = None
+    cold: Annotated[ColdStart, "limits for servers that have just started"] = ColdStart()
+    retries: Annotated[
+        RetryBudget | None, "retry budget; without it, only each route's `dispatches` limits"
+    ] = None
+    adaptive: Annotated[AdaptiveLimit | None, "adaptive limit on held queries; without it, no such limit"] = (
+        None
+    )
+
 
+class GatewayConfig(ConfigTable, frozen=True):
+    """The whole file."""
 
-class Gateway(Part, frozen=True):
     process: Process = Process()
     log: Log = Log()
     listeners: Annotated[list[Listener], Meta(min_length=1)] = field(default_factory=list)
@@ -175,62 +224,76 @@
     routes: Annotated[list[Route], Meta(min_length=1)] = field(default_factory=list)
 
 
-class MembersFile(Part, frozen=True):
+class MembersFile(ConfigTable, frozen=True):
+    """A file of pool members that is watched for changes."""
+
     servers: list[Server] = field(default_factory=list)
 
 
-class FileError(ValueError):
-    """Each line of the text names the file, the key and the reason."""
+class ConfigFileError(ValueError):
+    """A file that cannot be used.
 
-    def __init__(self, source: str, wrong: list[tuple[str, str]]) -> None:
-        self.source, self.wrong = source, wrong
+    Each line of the message names the file, the key and the reason. `problems` are pairs of key and reason;
+    the key is empty if the file as a whole is at fault.
+    """
+
+    def __init__(self, source: str, problems: list[tuple[str, str]]) -> None:
+        self.source, self.problems = source, problems
         super().__init__(
-            "\n".join(f"{source}: {key}: {why}" if key else f"{source}: {why}" for key, why in wrong)
+            "\n".join(
+                f"{source}: {key}: {reason}" if key else f"{source}: {reason}" for key, reason in problems
+            )
         )
 
 
 def read_toml(path: Path) -> dict[str, Any]:
+    """Raises `ConfigFileError` for a file that cannot be read or is not valid TOML."""
     try:
         return tomllib.loads(path.read_text())
     except OSError as error:
-        raise FileError(str(path), [("", error.strerror or str(error))]) from error
+        raise ConfigFileError(str(path), [("", error.strerror or str(error))]) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise FileError(str(path), [("", str(error))]) from error
+        raise ConfigFileError(str(path), [("", str(error))]) from error
 
 
 def convert(tree: Any, to: Any, at: str = "") -> tuple[Any, list[tuple[str, str]]]:
-    """The value, or None and all that is wrong with it: msgspec tells the first fault alone, so each table
-    and each field is tried by itself until the faults are found."""
+    """Converts parsed TOML to type `to`; returns the value, or None and all problems as key and reason.
+
+    `at` is the key of `tree` in the file. msgspec reports only the first problem, so on failure each table
+    and field is converted separately to find the rest.
+    """
     try:
         return msgspec.convert(tree, to), []
     except msgspec.ValidationError as error:
         first = str(error)
-    wrong = list(faults(tree, to, at))
-    return None, wrong or [(at, first)]
+    problems = list(find_problems(tree, to, at))
+    return None, problems or [(at, first)]
 
 
-def faults(tree: Any, to: Any, at: str) -> list[tuple[str, str]]:
+def find_problems(tree: Any, to: Any, at: str) -> list[tuple[str, str]]:
     info = msgspec.inspect.type_info(to)
     while isinstance(info, msgspec.inspect.Metadata):
         info = info.type
     if isinstance(info, msgspec.inspect.UnionType):
-        structs = [one for one in info.types if isinstance(one, msgspec.inspect.StructType)]
+        structs = [member for member in info.types if isinstance(member, msgspec.inspect.StructType)]
         info = structs[0] if structs and tree is not None else info
     if isinstance(info, msgspec.inspect.StructType) and isinstance(tree, dict):
-        known = {one.encode_name: one for one in info.fields}
-        wrong = [(join(at, key), "is no key of this table") for key in tree if key not in known]
-        for one in info.fields:
-            key = join(at, one.encode_name)
-            if one.encode_name in tree:
-                wrong += faults(tree[one.encode_name], annotation(info.cls, one.name), key)
-            elif one.required:
-                wrong.append((key, "is missing"))
-        return wrong
+        known = {spec.encode_name: spec for spec in info.fields}
+        problems = [(join_key(at, key), "is not a key of this table") for key in tree if key not in known]
+        for spec in info.fields:
+            key = join_key(at, spec.encode_name)
+            if spec.encode_name in tree:
+                problems += find_problems(tree[spec.encode_name], field_annotation(info.cls, spec.name), key)
+            elif spec.required:
+                problems.append((key, "is missing"))
+        return problems
     if isinstance(info, msgspec.inspect.ListType) and isinstance(tree, list):
-        inner = element(to)
-        wrong = [fault for n, one in enumerate(tree) for fault in faults(one, inner, f"{at}[{n}]")]
-        if wrong:
-            return wrong
+        inner = element_type(to)
+        problems = [
+            problem for n, item in enumerate(tree) for problem in find_problems(item, inner, f"{at}[{n}]")
+        ]
+        if problems:
+            return problems
     try:
         msgspec.convert(tree, to)
     except msgspec.ValidationError as error:
@@ -239,13 +302,14 @@
     return []
 
 
-def annotation(cls: type, name: str) -> Any:
+def field_annotation(cls: type, name: str) -> Any:
     from typing import get_type_hints
 
     return get_type_hints(cls, include_extras=True)[name]
 
 
-def element(to: Any) -> Any:
+def element_type(to: Any) -> Any:
+    """The element type of a list type, which may be `Annotated`."""
     from typing import get_args, get_origin
 
     while get_origin(to) is Annotated:
@@ -253,5 +317,5 @@
     return get_args(to)[0]
 
 
-def join(at: str, key: str) -> str:
+def join_key(at: str, key: str) -> str:
     return f"{at}.{key}" if at else key
--- a/maddercart/gateway/front.py
+++ b/maddercart/gateway/front.py
@@ -1,4 +1,4 @@
-"""The HTTP front: a request finds its route, passes the route's limits and becomes a query of a pool."""
+"""The HTTP front: matches a request to a route, enforces the route's limits and hands a query to a pool."""
 
 import logging
 import socket
@@ -10,10 +10,10 @@
 from random import Random
 
 from maddercart.gateway.file import Log, Route
-from maddercart.gateway.limits import Places, Rates
-from maddercart.gateway.pools import Used, nanos
-from maddercart.gateway.routes import Asked, Found, Table
-from maddercart.gateway.targets import BadTarget, Wanted, wanted
+from maddercart.gateway.limits import ConcurrencyLimiter, RateLimiter
+from maddercart.gateway.pools import ActivePool, seconds_to_ns
+from maddercart.gateway.routes import RouteLookup, RouteMatch, RouteTable
+from maddercart.gateway.targets import BadTarget, RequestTarget, parse_target
 from maddercart.http.application import Request
 from maddercart.interface import MILLISECOND, SECOND
 from maddercart.messages.answer import Reply
@@ -23,203 +23,244 @@
 
 log = logging.getLogger(__name__)
 
-ID, FORWARDED = b"x-request-id", b"x-forwarded-for"
-OURS = frozenset({b"host", FORWARDED})  # written anew for the upstream
-LONGEST_ID = 128
+REQUEST_ID_HEADER, FORWARDED_FOR_HEADER = b"x-request-id", b"x-forwarded-for"
+REPLACED_HEADERS = frozenset({b"host", FORWARDED_FOR_HEADER})  # rewritten for the upstream, not copied
+MAX_REQUEST_ID_BYTES = 128
 
 
 @dataclass(slots=True)
-class Passing(Query):
-    """A query of the gateway's; what it took of limits goes back when it is over."""
+class GatewayQuery(Query):
+    """A query that the gateway accepted; returns what it took from limits when it ends."""
 
-    ended: Callable[["Passing", int, str], None] | None = None
+    # Called once with the query, its number of dispatches and its ending.
+    on_end: Callable[["GatewayQuery", int, str], None] | None = None
     route: str = ""
     pool: str = ""
-    client: str = ""
-    granted: int = 0  # further dispatches, out of the pool's budget
-    since: int = 0
+    client: str = ""  # the client's IP address
+    granted_retries: int = 0  # dispatches after the first one, taken from the pool's retry budget
+    accepted_at: int = 0
 
     def headers_for(self, wait: int) -> Headers:
-        """Upstreams of any make are not told how long they are waited for."""
+        """The headers of a dispatch, without X-Expires-In: a generic upstream does not read the deadline."""
         lengths = [(b"Content-Length", b"%d" % len(self.body))] if self.body or self.method != b"GET" else []
         return [*self.headers, *lengths]
 
     def over(self, dispatches: int, how: str) -> None:
-        if self.ended is not None:
-            self.ended(self, dispatches, how)
-            self.ended = None
+        if self.on_end is not None:
+            self.on_end(self, dispatches, how)
+            self.on_end = None
 
 
 @dataclass
-class Kept:
-    """What is kept of a route from one file to the next, by its name."""
+class RouteState:
+    """Limiters of a route; kept across reloads for a route of the same name."""
 
     route: Route
-    places: Places = field(default_factory=lambda: Places(0, 1.0))
-    rates: list[Rates] = field(default_factory=list)
+    concurrency_limiter: ConcurrencyLimiter = field(default_factory=lambda: ConcurrencyLimiter(0, 1.0))
+    rate_limiters: list[RateLimiter] = field(default_factory=list)  # in the order of `route.limits`
 
-    def renew(self, route: Route) -> None:
+    def reconfigure(self, route: Route) -> None:
         self.route = route
-        self.places.most, self.places.fair = route.held, route.fair
-        former, self.rates = self.rates, []
+        self.concurrency_limiter.max_held, self.concurrency_limiter.fair_from = route.held, route.fair
+        previous, self.rate_limiters = self.rate_limiters, []
         for n, limit in enumerate(route.limits):
-            if n < len(former):
-                former[n].set(limit.rate, limit.burst, limit.keys)
-            self.rates.append(former[n] if n < len(former) else Rates(limit.rate, limit.burst, limit.keys))
+            if n < len(previous):
+                previous[n].configure(limit.rate, limit.burst, limit.keys)
+            self.rate_limiters.append(
+                previous[n] if n < len(previous) else RateLimiter(limit.rate, limit.burst, limit.keys)
+            )
 
 
 class Routing:
-    """The file's routes in use, for all listeners."""
+    """The current routes and their limiters, shared by all listeners."""
 
     def __init__(self, clock: Callable[[], int], seed: int) -> None:
         self.clock = clock
-        chance = Random(seed)
-        self.draw, self.bits = chance.random, chance.getrandbits
+        generator = Random(seed)
+        self.random, self.random_bits = generator.random, generator.getrandbits
         self.counts: Counter[str] = Counter()
-        self.routes: list[Kept] = []
-        self.kept: dict[str, Kept] = {}
-        self.pools: dict[str, Used] = {}
-        self.table = Table([])
-        self.log = Log()
-
-    def renew(self, routes: Sequence[Route], pools: dict[str, Used], told: Log) -> None:
-        """In one turn; a query that is held goes by what it was taken under."""
-        kept = {route.name: self.kept.get(route.name) or Kept(route) for route in routes}
+        self.routes: list[RouteState] = []  # in file order
+        self.states_by_name: dict[str, RouteState] = {}
+        self.pools: dict[str, ActivePool] = {}
+        self.table = RouteTable([])
+        self.log_config = Log()
+
+    def reconfigure(self, routes: Sequence[Route], pools: dict[str, ActivePool], log_config: Log) -> None:
+        """Switches to new routes within one turn of the loop; held queries keep the terms they came under."""
+        states = {route.name: self.states_by_name.get(route.name) or RouteState(route) for route in routes}
         for route in routes:
-            kept[route.name].renew(route)
-        self.kept, self.pools, self.log = kept, pools, told
-        self.routes = [kept[route.name] for route in routes]
-        self.table = Table(routes)
-        self.looked = {name.encode() for route in routes for name in map(str.lower, route.headers)}
-        self.looked |= {key.encode() for route in routes for limit in route.limits
-                        if (key := limit.key.partition("header:")[2].lower())}  # fmt: skip
-        self.shares = [list(accumulate(target.weight for target in route.to)) for route in routes]
-
-    def find(self, listener: str, request: Request, want: Wanted) -> tuple[Found, dict[str, list[str]]]:
+            states[route.name].reconfigure(route)
+        self.states_by_name, self.pools, self.log_config = states, pools, log_config
+        self.routes = [states[route.name] for route in routes]
+        self.table = RouteTable(routes)
+        # Lower-case names of the headers that route conditions or rate limits read.
+        self.relevant_headers = {name.encode() for route in routes for name in map(str.lower, route.headers)}
+        self.relevant_headers |= {key.encode() for route in routes for limit in route.limits
+                                  if (key := limit.key.partition("header:")[2].lower())}  # fmt: skip
+        self.cumulative_weights = [list(accumulate(target.weight for target in route.to)) for route in routes]
+
+    def find(
+        self, listener: str, request: Request, request_target: RequestTarget
+    ) -> tuple[RouteMatch, dict[str, list[str]]]:
+        """The matching route, and the values of each relevant header by its lower-case name."""
         headers: dict[str, list[str]] = {}
         for name, value in request.headers:
-            if (lowered := name.lower()) in self.looked:
+            if (lowered := name.lower()) in self.relevant_headers:
                 headers.setdefault(lowered.decode(), []).append(value.decode("latin-1"))
-        asked = Asked(listener, want.host, want.path, request.method.decode(), headers)
-        return self.table.find(asked), headers
-
-    def target(self, place: int) -> Used:
-        """Drawn by weight: shares hold over many queries, and no query depends on the one before it."""
-        to, shares = self.routes[place].route.to, self.shares[place]
+        lookup = RouteLookup(
+            listener, request_target.host, request_target.path, request.method.decode(), headers
+        )
+        return self.table.find(lookup), headers
+
+    def pick_pool(self, route_index: int) -> ActivePool:
+        """Draws one of the route's pools at random by weight, independently for each query."""
+        to, weights = self.routes[route_index].route.to, self.cumulative_weights[route_index]
         if len(to) == 1:
             return self.pools[to[0].pool]
-        mark = self.draw() * shares[-1]
-        return self.pools[next(one.pool for one, share in zip(to, shares, strict=True) if mark < share)]
-
-    def sampled(self, trace: bytes) -> bool:
-        """The same ids on each run, and at each gateway: a query's lines can be put together."""
-        if self.log.access >= 1:
+        point = self.random() * weights[-1]
+        return self.pools[
+            next(target.pool for target, bound in zip(to, weights, strict=True) if point < bound)
+        ]
+
+    def is_sampled(self, trace: bytes) -> bool:
+        """Whether the query gets an access log line.
+
+        Decided by a hash of its id, so that all runs and all gateways sample the same queries and their lines
+        can be joined.
+        """
+        if self.log_config.access >= 1:
             return True
-        told = int.from_bytes(blake2b(trace, digest_size=4).digest(), "little")
-        return told < self.log.access * (1 << 32)
+        hashed = int.from_bytes(blake2b(trace, digest_size=4).digest(), "little")
+        return hashed < self.log_config.access * (1 << 32)
 
 
 class HttpFront:
-    """One listener's."""
+    """The front of one listener; an empty `ready_path` serves no readiness endpoint."""
 
-    def __init__(self, name: str, ready: str, routing: Routing, serving: Callable[[], bool]) -> None:
-        self.name, self.ready, self.routing, self.serving = name, ready.encode(), routing, serving
+    def __init__(self, name: str, ready_path: str, routing: Routing, is_ready: Callable[[], bool]) -> None:
+        self.name, self.ready_path, self.routing, self.is_ready = name, ready_path.encode(), routing, is_ready
 
     def receive(self, request: Request, sock: socket.socket, stopping: bool) -> Opened | Reply | Unfit:
+        """Answers a readiness check, or routes the request; returns `Unfit` for one that has no route."""
         routing = self.routing
-        if self.ready and request.target.partition(b"?")[0] == self.ready:
-            return Reply(200, b"ready\n") if self.serving() and not stopping else Reply(503, b"not ready\n")
+        if self.ready_path and request.target.partition(b"?")[0] == self.ready_path:
+            return Reply(200, b"ready\n") if self.is_ready() and not stopping else Reply(503, b"not ready\n")
         hosts = [value for name, value in request.headers if name.lower() == b"host"]
         if len(hosts) > 1:
             return Unfit(400, "Host is there twice")
         try:
-            want = wanted(request.target, hosts[0] if hosts else None)
+            request_target = parse_target(request.target, hosts[0] if hosts else None)
         except BadTarget as error:
             return Unfit(400, str(error))
-        found, headers = routing.find(self.name, request, want)
-        if found.route is None:
-            return Unfit(405, f"only {', '.join(found.methods)}") if found.methods else Unfit(404, "no route")
+        route_match, headers = routing.find(self.name, request, request_target)
+        if route_match.route_index is None:
+            return (
+                Unfit(405, f"only {', '.join(route_match.methods)}")
+                if route_match.methods
+                else Unfit(404, "no route")
+            )
         if any(len(values) > 1 for values in headers.values()):
             return Unfit(400, "a header that routes go by is there twice")
-        kept = routing.routes[found.route]
-        if len(request.body) > kept.route.body:
+        state = routing.routes[route_match.route_index]
+        if len(request.body) > state.route.body:
             return Unfit(413, "the body is over the route's limit")
-        return self.admit(request, sock, want, found.route, kept, headers)
+        return self.admit(request, sock, request_target, route_match.route_index, state, headers)
 
     def admit(
-        self, request: Request, sock: socket.socket, want: Wanted, place: int, kept: Kept,
-        headers: dict[str, list[str]],
+        self, request: Request, sock: socket.socket, request_target: RequestTarget, route_index: int,
+        state: RouteState, headers: dict[str, list[str]],
     ) -> Opened | Reply | Unfit:  # fmt: skip
-        """Past the limits, the cheapest first; what one has taken goes back if a later one refuses."""
-        routing, route, now = self.routing, kept.route, self.routing.clock()
-        client = peer(sock)
-        for limit, rates in zip(route.limits, kept.rates, strict=True):
+        """Opens a query if all limits admit it; the cheapest are checked first.
+
+        The order is the route's rate limits, the pool's adaptive limit, the route's concurrency limit. What a
+        rate limit has counted is not returned if a later limit rejects.
+        """
+        routing, route, now = self.routing, state.route, self.routing.clock()
+        client = peer_address(sock)
+        for limit, limiter in zip(route.limits, state.rate_limiters, strict=True):
             key = client if limit.key == "client" else ""
             if name := limit.key.partition("header:")[2]:
                 key = headers.get(name.lower(), [""])[0]
-            if wait := rates.admit(now, key):
-                return self.refuse(429, "rate", wait)
-        used = routing.target(place)
-        if used.followed is not None and not used.followed.admit(len(used.desk.held)):
-            return self.refuse(503, "adaptive", nanos(route.agreed), used)
-        if not kept.places.admit(client):
-            return self.refuse(503, "held", nanos(route.agreed), used)
-        granted = route.dispatches - 1
-        if used.budget is not None:
-            granted = used.budget.grant(granted)
-        named = [value for name, value in request.headers if name.lower() == ID]
-        trace = named[0][:LONGEST_ID] if named else b"%016x" % routing.bits(64)
-        query = Passing(
-            request.method, want.target.encode(), self.passed(request, want, client, trace, bool(named)),
-            request.body, used.places[route.name], nanos(route.stop), trace, 1 + granted,
-            ended=self.ender(kept, used), route=route.name, pool=used.terms.name, client=client,
-            granted=granted, since=now,
+            if delay := limiter.admit(now, key):
+                return self.reject(429, "rate", delay)
+        active_pool = routing.pick_pool(route_index)
+        if active_pool.adaptive_limiter is not None and not active_pool.adaptive_limiter.admit(
+            len(active_pool.decisions.held)
+        ):
+            return self.reject(503, "adaptive", seconds_to_ns(route.agreed), active_pool)
+        if not state.concurrency_limiter.admit(client):
+            return self.reject(503, "held", seconds_to_ns(route.agreed), active_pool)
+        granted_retries = route.dispatches - 1
+        if active_pool.retry_limiter is not None:
+            granted_retries = active_pool.retry_limiter.grant(granted_retries)
+        request_ids = [value for name, value in request.headers if name.lower() == REQUEST_ID_HEADER]
+        trace = request_ids[0][:MAX_REQUEST_ID_BYTES] if request_ids else b"%016x" % routing.random_bits(64)
+        query = GatewayQuery(
+            request.method, request_target.target.encode(),
+            self.upstream_headers(request, request_target, client, trace, bool(request_ids)),
+            request.body, active_pool.offering_numbers[route.name], seconds_to_ns(route.stop), trace,
+            1 + granted_retries, on_end=self.end_callback(state, active_pool), route=route.name,
+            pool=active_pool.config.name, client=client, granted_retries=granted_retries, accepted_at=now,
         )  # fmt: skip
-        return Opened(query, used.desk)
-
-    def passed(self, request: Request, want: Wanted, client: str, trace: bytes, named: bool) -> Headers:
-        headers = passed_on(request.headers, OURS)
-        before = [value for name, value in request.headers if name.lower() == FORWARDED]
-        if want.authority:
-            headers.insert(0, (b"Host", want.authority.encode()))
-        headers.append((b"X-Forwarded-For", b", ".join([*before, client.encode()])))
-        if not named:
+        return Opened(query, active_pool.decisions)
+
+    def upstream_headers(
+        self, request: Request, request_target: RequestTarget, client: str, trace: bytes, has_request_id: bool
+    ) -> Headers:
+        """The request's end-to-end headers, with Host, X-Forwarded-For and X-Request-Id set."""
+        headers = passed_on(request.headers, REPLACED_HEADERS)
+        forwarded = [value for name, value in request.headers if name.lower() == FORWARDED_FOR_HEADER]
+        if request_target.authority:
+            headers.insert(0, (b"Host", request_target.authority.encode()))
+        headers.append((b"X-Forwarded-For", b", ".join([*forwarded, client.encode()])))
+        if not has_request_id:
             headers.append((b"X-Request-Id", trace))
         return headers
 
-    def refuse(self, status: int, limit: str, wait: int, used: Used | None = None) -> Reply:
-        """Bounced at once: nothing was sent, so a retry is harmless, best not before it is told. Spread
-        upwards, or all that were refused together would be back together."""
-        self.routing.counts[f"over_{limit}"] += 1
-        after = int(wait * (1 + 0.5 * self.routing.draw()))
-        most = SECOND if used is None else nanos(used.terms.come_back)
-        told = after if used is None else min(after, most)
-        return Reply(status, b"bounced: over a limit; a retry is harmless\n", max(1, told), whole=True)
-
-    def ender(self, kept: Kept, used: Used) -> Callable[[Passing, int, str], None]:
-        def ended(query: Passing, dispatches: int, how: str) -> None:
+    def reject(
+        self, status: int, limit_name: str, delay: int, active_pool: ActivePool | None = None
+    ) -> Reply:
+        """A rejection before anything was sent, so that a retry is safe.
+
+        Retry-After is `delay` (nanoseconds) plus random jitter of up to half of it, capped at `come_back` of
+        `active_pool` if one is given. Without jitter, clients that were rejected together would retry
+        together.
+        """
+        self.routing.counts[f"over_{limit_name}"] += 1
+        jittered = int(delay * (1 + 0.5 * self.routing.random()))
+        max_delay = SECOND if active_pool is None else seconds_to_ns(active_pool.config.come_back)
+        retry_after = jittered if active_pool is None else min(jittered, max_delay)
+        return Reply(status, b"bounced: over a limit; a retry is harmless\n", max(1, retry_after), whole=True)
+
+    def end_callback(
+        self, state: RouteState, active_pool: ActivePool
+    ) -> Callable[[GatewayQuery, int, str], None]:
+        """Creates the callback that releases a query's share of the limits and writes its access log line."""
+
+        def on_end(query: GatewayQuery, dispatches: int, ending: str) -> None:
             now = self.routing.clock()
-            kept.places.leave(query.client)
-            if used.budget is not None:
-                used.budget.back(max(0, query.granted - max(0, dispatches - 1)))
-            if used.followed is not None and how == "done":
-                used.followed.answered(now, now - query.since)
-            if self.routing.log.access and self.routing.sampled(query.trace):
+            state.concurrency_limiter.release(query.client)
+            if active_pool.retry_limiter is not None:
+                active_pool.retry_limiter.refund(max(0, query.granted_retries - max(0, dispatches - 1)))
+            if active_pool.adaptive_limiter is not None and ending == "done":
+                active_pool.adaptive_limiter.record_answer(now, now - query.accepted_at)
+            if self.routing.log_config.access and self.routing.is_sampled(query.trace):
                 log.info("query", extra={
                     "id": query.trace.decode("latin-1"), "route": query.route, "pool": query.pool,
                     "client": query.client, "method": query.method.decode("latin-1"),
-                    "target": query.target.decode("latin-1"), "dispatches": dispatches, "ending": how,
-                    "ms": (now - query.since) / MILLISECOND,
+                    "target": query.target.decode("latin-1"), "dispatches": dispatches, "ending": ending,
+                    "ms": (now - query.accepted_at) / MILLISECOND,
                 })  # fmt: skip
 
-        return ended
+        return on_end
 
     def over(self, opened: Opened) -> None:
-        """What it took went back with its answer (`Passing.over`)."""
+        """Does nothing: `GatewayQuery.over` has released the limits already."""
 
 
-def peer(sock: socket.socket) -> str:
+def peer_address(sock: socket.socket) -> str:
+    """The client's IP address, or an empty string if it has disconnected."""
     try:
         return str(sock.getpeername()[0])
-    except OSError:  # it has gone
+    except OSError:
         return ""
--- a/maddercart/gateway/limits.py
+++ b/maddercart/gateway/limits.py
@@ -1,6 +1,7 @@
-"""What is admitted: rates by key, queries held with a fair share, budgets of further dispatches, a limit that
-follows answers' times. No I/O, and time is passed in, in whole nanoseconds. Nothing waits here: a query is
-admitted now, or the caller is told how long it should stay away."""
+"""Admission limits: request rates per key, concurrency with fair shares, retry budgets, adaptive concurrency.
+
+No I/O; the current time is passed in. Limiters never make a query wait: they admit it at once or reject it.
+"""
 
 from collections import deque
 from hashlib import blake2b
@@ -8,153 +9,180 @@
 from maddercart.interface import SECOND
 
 
-class Rates:
-    """A bucket for each key, kept as one time (when it will be full again). A key whose bucket is full is not
-    told from one that never came, so it is forgotten; what is known is looked through in turns, two for
-    each query, so that no query pays for a million.
+class RateLimiter:
+    """A token bucket for each key, stored as the instant at which the bucket will be full again.
+
+    A key whose bucket is full needs no entry. Each query checks a few old entries and removes those that are
+    full, so that no single query pays for cleaning up a large table.
 
-    Guards memory against keys that come once and never again: beyond `keys` of them, new ones share
-    `SHARED` cells, two for each key by its hash, of which the less used one counts: a stranger is limited for
-    another's doing only if both of its cells are."""
+    To bound memory against clients that send a new key with each request, at most `max_keys` keys have a
+    bucket of their own. Further keys share buckets: each hashes to two of them, and the less used one
+    decides. A new key is therefore limited by the traffic of others only if both of its buckets are in use.
+    """
 
-    SHARED = 8192  # cells: a thousand busy keys among them hinder one new key in 70
-    LOOKS = 2  # at old keys, for each query: forgets faster than one key a query comes
+    SHARED_BUCKETS = 8192  # 1000 busy keys among them affect one new key in 70
+    EXPIRY_CHECKS = 2  # per query; more than 1, so that entries expire faster than new keys come
 
-    def __init__(self, rate: float, burst: float, keys: int) -> None:
-        self.set(rate, burst, keys)
-        self.full_at: dict[str, int] = {}
-        self.turn: deque[str] = deque()  # keys in the order in which they are looked at again
-        self.shared: list[int] = []
+    def __init__(self, rate: float, burst: float, max_keys: int) -> None:
+        """`rate` is in queries per second, `burst` in queries."""
+        self.configure(rate, burst, max_keys)
+        self.full_at: dict[str, int] = {}  # by key: the instant at which its bucket will be full
+        self.expiry_queue: deque[str] = deque()  # keys in the order in which they are checked
+        self.shared_full_at: list[int] = []  # by bucket number; empty until first used
 
-    def set(self, rate: float, burst: float, keys: int) -> None:
-        """Other terms from now on; what is known of keys stays."""
-        self.each, self.depth, self.keys = int(SECOND / rate), int(SECOND / rate * burst), keys
+    def configure(self, rate: float, burst: float, max_keys: int) -> None:
+        """Changes the limit; the state of all keys is kept."""
+        # The time in which one token, and a full bucket, are refilled.
+        self.token_interval, self.refill_time, self.max_keys = (
+            int(SECOND / rate),
+            int(SECOND / rate * burst),
+            max_keys,
+        )
 
     def admit(self, now: int, key: str) -> int:
-        """0 if it is admitted, and counted; else after how long one more would be."""
-        self.forget(now)
-        known = self.full_at.get(key)
-        if known is None and len(self.full_at) >= self.keys:
+        """Returns 0 and counts the query if it is admitted, else the nanoseconds until one would be."""
+        self.expire_keys(now)
+        full_at = self.full_at.get(key)
+        if full_at is None and len(self.full_at) >= self.max_keys:
             return self.admit_shared(now, key)
-        if wait := self.wait(now, known or 0):
-            return wait
-        if known is None:
-            self.turn.append(key)
-        self.full_at[key] = max(now, known or 0) + self.each
+        if delay := self.delay_until_token(now, full_at or 0):
+            return delay
+        if full_at is None:
+            self.expiry_queue.append(key)
+        self.full_at[key] = max(now, full_at or 0) + self.token_interval
         return 0
 
-    def wait(self, now: int, full_at: int) -> int:
-        return max(0, full_at + self.each - self.depth - now)
+    def delay_until_token(self, now: int, full_at: int) -> int:
+        return max(0, full_at + self.token_interval - self.refill_time - now)
 
     def admit_shared(self, now: int, key: str) -> int:
-        self.shared = self.shared or [0] * self.SHARED
-        told = blake2b(key.encode("utf-8", "surrogateescape"), digest_size=8).digest()
-        cells = (
-            int.from_bytes(told[:4], "little") % self.SHARED,
-            int.from_bytes(told[4:], "little") % self.SHARED,
+        """Like `admit`, for a key without a bucket of its own."""
+        self.shared_full_at = self.shared_full_at or [0] * self.SHARED_BUCKETS
+        digest = blake2b(key.encode("utf-8", "surrogateescape"), digest_size=8).digest()
+        buckets = (
+            int.from_bytes(digest[:4], "little") % self.SHARED_BUCKETS,
+            int.from_bytes(digest[4:], "little") % self.SHARED_BUCKETS,
         )
-        full_at = min(self.shared[cell] for cell in cells)
-        if wait := self.wait(now, full_at):
-            return wait
-        for cell in cells:
-            self.shared[cell] = max(self.shared[cell], max(now, full_at) + self.each)
+        full_at = min(self.shared_full_at[bucket] for bucket in buckets)
+        if delay := self.delay_until_token(now, full_at):
+            return delay
+        for bucket in buckets:
+            self.shared_full_at[bucket] = max(
+                self.shared_full_at[bucket], max(now, full_at) + self.token_interval
+            )
         return 0
 
-    def forget(self, now: int) -> None:
-        for _ in range(min(self.LOOKS, len(self.turn))):
-            key = self.turn.popleft()
+    def expire_keys(self, now: int) -> None:
+        """Checks the next few keys and removes those whose bucket is full."""
+        for _ in range(min(self.EXPIRY_CHECKS, len(self.expiry_queue))):
+            key = self.expiry_queue.popleft()
             if self.full_at[key] <= now:
                 del self.full_at[key]
             else:
-                self.turn.append(key)
+                self.expiry_queue.append(key)
 
 
-class Places:
-    """Queries held at once, at most `most`. Up to `fair` of them anybody may have; beyond that no client may
-    have more than its even share among those that hold one, so that one client's crowd turns its own away."""
+class ConcurrencyLimiter:
+    """Limits the number of queries held at once to `max_held`; 0 means no limit.
 
-    def __init__(self, most: int, fair: float) -> None:
-        self.most, self.fair = most, fair
+    Once the fraction `fair_from` of them is in use, no client may hold more than an even share among the
+    clients that hold any, so that a client that floods the gateway has only its own queries rejected.
+    """
+
+    def __init__(self, max_held: int, fair_from: float) -> None:
+        self.max_held, self.fair_from = max_held, fair_from
         self.held = 0
-        self.clients: dict[str, int] = {}
+        self.held_by_client: dict[str, int] = {}
 
     def admit(self, client: str) -> bool:
-        """Whether it may come in; it must leave again."""
-        mine = self.clients.get(client, 0)
-        if self.most:
-            others = len(self.clients) + (mine == 0)
-            crowded = self.held >= self.fair * self.most
-            if self.held >= self.most or (crowded and mine >= max(1, self.most // others)):
+        """Whether a query is admitted; one that is must be released."""
+        own = self.held_by_client.get(client, 0)
+        if self.max_held:
+            clients = len(self.held_by_client) + (own == 0)
+            crowded = self.held >= self.fair_from * self.max_held
+            if self.held >= self.max_held or (crowded and own >= max(1, self.max_held // clients)):
                 return False
         self.held += 1
-        self.clients[client] = mine + 1
+        self.held_by_client[client] = own + 1
         return True
 
-    def leave(self, client: str) -> None:
+    def release(self, client: str) -> None:
         self.held -= 1
-        if (mine := self.clients[client] - 1) > 0:
-            self.clients[client] = mine
+        if (own := self.held_by_client[client] - 1) > 0:
+            self.held_by_client[client] = own
         else:
-            del self.clients[client]
+            del self.held_by_client[client]
+
 
+class RetryLimiter:
+    """A retry budget: dispatches beyond the first of each query, as a share of the first ones.
 
-class Budget:
-    """Further dispatches as a share of first ones. Each query is given, as it is taken, how many it may have;
-    what it did not use comes back with its answer. So the sum stays under it, whatever fails."""
+    Each query is granted its retries when it is accepted and refunds the unused ones when it ends, so the
+    total stays within the budget at all times, whatever fails.
+    """
 
     def __init__(self, share: float, burst: float) -> None:
-        self.share, self.burst, self.saved = share, burst, burst
+        """`share` is retries per query; `burst` is the initial and the greatest balance."""
+        self.share, self.burst, self.balance = share, burst, burst
 
-    def set(self, share: float, burst: float) -> None:
-        self.share, self.burst, self.saved = share, burst, min(self.saved, burst)
+    def configure(self, share: float, burst: float) -> None:
+        self.share, self.burst, self.balance = share, burst, min(self.balance, burst)
 
     def grant(self, wanted: int) -> int:
-        """A query is taken that would like to be sent so many times more: how many it may."""
-        self.saved = min(self.burst, self.saved + self.share)
-        granted = min(wanted, int(self.saved))
-        self.saved -= granted
+        """Credits one accepted query and returns how many of the `wanted` retries it may use."""
+        self.balance = min(self.burst, self.balance + self.share)
+        granted = min(wanted, int(self.balance))
+        self.balance -= granted
         return granted
 
-    def back(self, unused: int) -> None:
-        self.saved = min(self.burst, self.saved + unused)
+    def refund(self, unused: int) -> None:
+        self.balance = min(self.burst, self.balance + unused)
+
 
+class AdaptiveLimiter:
+    """A limit on held queries that adapts to measured latency.
 
-class Followed:
-    """A limit on queries held that follows answers' times: while they take about what they did unhurried, and
-    the limit is made use of, it rises by its root; once the middle of them takes `tolerance` times as long it
-    falls by a tenth. Decided once for each `MANY` answers, or each second."""
+    A decision is made for every `SAMPLES_PER_DECISION` answers, or after `MAX_INTERVAL_NS` if there are at
+    least 8. The baseline is the lower quartile of the medians of recent decisions. If the current median
+    exceeds `tolerance` times the baseline, the limit is multiplied by `DECREASE_FACTOR`. Otherwise it grows
+    by its square root, provided that at least half of it was in use.
+    """
 
-    MANY, LONG = 64, SECOND
-    CALM = 60  # of the last decisions, whose lower quarter is what an answer takes unhurried
-    LESS = 0.9
+    SAMPLES_PER_DECISION, MAX_INTERVAL_NS = 64, SECOND
+    BASELINE_DECISIONS = 60  # how many recent medians the baseline is taken from
+    DECREASE_FACTOR = 0.9
 
-    def __init__(self, least: int, most: int, tolerance: float) -> None:
-        self.limit = float(least)
-        self.set(least, most, tolerance)
-        self.times: list[int] = []
-        self.calm: deque[int] = deque(maxlen=self.CALM)
-        self.since = 0
-        self.highest = 0  # held at once since the last decision
+    def __init__(self, min_limit: int, max_limit: int, tolerance: float) -> None:
+        self.limit = float(min_limit)
+        self.configure(min_limit, max_limit, tolerance)
+        self.latencies: list[int] = []  # since the last decision
+        self.recent_medians: deque[int] = deque(maxlen=self.BASELINE_DECISIONS)
+        self.last_decision_at = 0
+        self.peak_held = 0  # the most queries held at once since the last decision
 
-    def set(self, least: int, most: int, tolerance: float) -> None:
-        self.least, self.most, self.tolerance = least, most, tolerance
-        self.limit = min(max(self.limit, least), most)
+    def configure(self, min_limit: int, max_limit: int, tolerance: float) -> None:
+        self.min_limit, self.max_limit, self.tolerance = min_limit, max_limit, tolerance
+        self.limit = min(max(self.limit, min_limit), max_limit)
 
     def admit(self, held: int) -> bool:
-        self.highest = max(self.highest, held + 1)
+        """Whether one more query may be held beside `held` others."""
+        self.peak_held = max(self.peak_held, held + 1)
         return held < int(self.limit)
 
-    def answered(self, now: int, took: int) -> None:
-        """An upstream has answered a query that was held for so long."""
-        self.times.append(took)
-        if len(self.times) < self.MANY and (now - self.since < self.LONG or len(self.times) < 8):
+    def record_answer(self, now: int, latency: int) -> None:
+        """Records an upstream's answer and the time that its query was held; may adjust the limit."""
+        self.latencies.append(latency)
+        if len(self.latencies) < self.SAMPLES_PER_DECISION and (
+            now - self.last_decision_at < self.MAX_INTERVAL_NS or len(self.latencies) < 8
+        ):
             return
-        middle = sorted(self.times)[len(self.times) // 2]
-        self.calm.append(middle)
-        unhurried = sorted(self.calm)[len(self.calm) // 4]
-        if middle > self.tolerance * unhurried:
-            self.limit = max(self.least, self.limit * self.LESS)
-        elif self.highest >= self.limit / 2:  # an unused limit that rises limits nothing when it is needed
-            self.limit = min(self.most, self.limit + self.limit**0.5)
-        self.times.clear()
-        self.since, self.highest = now, 0
+        median = sorted(self.latencies)[len(self.latencies) // 2]
+        self.recent_medians.append(median)
+        baseline = sorted(self.recent_medians)[len(self.recent_medians) // 4]
+        if median > self.tolerance * baseline:
+            self.limit = max(self.min_limit, self.limit * self.DECREASE_FACTOR)
+        # An unused limit must not grow: it would be too high to protect the upstreams once load comes.
+        elif self.peak_held >= self.limit / 2:
+            self.limit = min(self.max_limit, self.limit + self.limit**0.5)
+        self.latencies.clear()
+        self.last_decision_at, self.peak_held = now, 0
--- a/maddercart/gateway/members.py
+++ b/maddercart/gateway/members.py
@@ -1,4 +1,4 @@
-"""Where a pool's members come from: the gateway's file, a file of their own that is watched, or discovery."""
+"""Members of a pool that are listed in the configuration or in a watched file, as versions of a list."""
 
 import logging
 import os
@@ -6,83 +6,92 @@
 from pathlib import Path
 
 from maddercart.gateway.check import read_members
-from maddercart.gateway.file import FileError, Pool, Server
+from maddercart.gateway.file import ConfigFileError, Pool, Server
 from maddercart.interface import MILLISECOND, SECOND
 from maddercart.messages.upstreams import Listing
 from maddercart.net.loop import Coroutine, Wait
 
 log = logging.getLogger(__name__)
 
-LOOK_EVERY = SECOND
-ALONE = "-"  # the zone, or kind, of a pool that names none
+POLL_INTERVAL_NS = SECOND
+DEFAULT_NAME = "-"  # the only zone, or kind, of a pool that names none
 
 
-class Members:
-    """Turns servers as they are written into versions of a list. One that was not there before has just
-    started; those of the first version have not, or a restart of the gateway would starve them all."""
+class MemberList:
+    """Turns configured servers into numbered versions of a list.
+
+    A server that the previous version lacked counts as just started if the pool's `fresh_is_cold` is set.
+    Those of the first version count as warm: otherwise a restart of the gateway would limit all of them as
+    cold at once.
+    """
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self.clock = clock
-        self.seq = 0
-        self.born: dict[str, float] = {}  # by name: milliseconds, 0 for long ago
+        self.seq = 0  # of the latest version; 0: none yet
+        self.started_ms: dict[str, float] = {}  # by server name: when it started, in milliseconds; 0: warm
 
     def listing(self, servers: Sequence[Server], pool: Pool) -> Listing:
-        now = self.clock() / MILLISECOND if self.seq and pool.fresh_is_cold else 0.0
+        """The next version, with the whole list."""
+        now_ms = self.clock() / MILLISECOND if self.seq and pool.fresh_is_cold else 0.0
         names = [server.name or server.address for server in servers]
-        self.born = {name: self.born.get(name, now) for name in names}
+        self.started_ms = {name: self.started_ms.get(name, now_ms) for name in names}
         self.seq += 1
         hosts = [
             {
-                "host": name, "dial": server.address, "site": server.zone or zones(pool)[0],
-                "class": server.kind or kinds(pool)[0], "block": server.cell, "share": server.size,
-                "born_ms": self.born[name], "health": "SERVING" if server.state == "ready" else "DRAINING",
+                "host": name, "dial": server.address, "site": server.zone or zone_names(pool)[0],
+                "class": server.kind or kind_names(pool)[0], "block": server.cell, "share": server.size,
+                "born_ms": self.started_ms[name],
+                "health": "SERVING" if server.state == "ready" else "DRAINING",
             }
             for name, server in zip(names, servers, strict=True)
         ]  # fmt: skip
         return Listing(self.seq, hosts, whole=True)
 
 
-def zones(pool: Pool) -> list[str]:
-    return pool.zones or [ALONE]
+def zone_names(pool: Pool) -> list[str]:
+    return pool.zones or [DEFAULT_NAME]
 
 
-def kinds(pool: Pool) -> list[str]:
-    return pool.kinds or [ALONE]
+def kind_names(pool: Pool) -> list[str]:
+    return pool.kinds or [DEFAULT_NAME]
 
 
-def stamp(path: Path) -> tuple[int, int, int] | None:
-    """What changes with a file's content; None if there is no such file."""
+def file_stamp(path: Path) -> tuple[int, int, int] | None:
+    """Inode, modification time in nanoseconds and size; None if the file cannot be accessed."""
     try:
-        now = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return None
-    return now.st_ino, now.st_mtime_ns, now.st_size
+    return status.st_ino, status.st_mtime_ns, status.st_size
+
 
+class MembersFileWatcher:
+    """Polls a members file and passes its servers to `on_change` when it has changed.
 
-class Watch:
-    """Looks at a file each second; what can't be used is told once, and the last good version stays."""
+    An unusable version is logged once, and the last usable one stays in effect.
+    """
 
     def __init__(
-        self, clock: Callable[[], int], path: Path, pool: Pool, changed: Callable[[list[Server]], None]
+        self, clock: Callable[[], int], path: Path, pool: Pool, on_change: Callable[[list[Server]], None]
     ) -> None:
-        self.clock, self.path, self.pool, self.changed = clock, path, pool, changed
-        self.seen = stamp(path)
+        self.clock, self.path, self.pool, self.on_change = clock, path, pool, on_change
+        self.last_stamp = file_stamp(path)
 
-    def look(self) -> None:
-        now = stamp(self.path)
-        if now == self.seen:
+    def poll(self) -> None:
+        stamp = file_stamp(self.path)
+        if stamp == self.last_stamp:
             return
-        self.seen = now
+        self.last_stamp = stamp
         try:
             servers = read_members(self.path, self.pool)
-        except FileError as error:
+        except ConfigFileError as error:
             for line in str(error).splitlines():
-                log.error("members can't be used", extra={"pool": self.pool.name, "reason": line})
+                log.error("cannot use members file", extra={"pool": self.pool.name, "reason": line})
             return
-        log.info("members read again", extra={"pool": self.pool.name, "servers": len(servers)})
-        self.changed(servers)
+        log.info("members file reloaded", extra={"pool": self.pool.name, "servers": len(servers)})
+        self.on_change(servers)
 
     def run(self) -> Coroutine:
         while True:
-            yield Wait(until=self.clock() + LOOK_EVERY)
-            self.look()
+            yield Wait(until=self.clock() + POLL_INTERVAL_NS)
+            self.poll()
--- a/maddercart/gateway/node.py
+++ b/maddercart/gateway/node.py
@@ -1,4 +1,4 @@
-"""A gateway in one process: its listeners, routes and pools, put together from a file, and anew on SIGHUP."""
+"""The gateway process: listeners, routes and pools from a configuration file, reloaded on SIGHUP."""
 
 import gc
 import logging
@@ -9,10 +9,10 @@
 from resource import RLIMIT_NOFILE, getrlimit
 
 from maddercart.gateway.check import read_gateway
-from maddercart.gateway.file import FileError, Gateway, Listener, Route
+from maddercart.gateway.file import ConfigFileError, GatewayConfig, Listener, Route
 from maddercart.gateway.front import HttpFront, Routing
-from maddercart.gateway.pools import Used, nanos
-from maddercart.gateway.reader import Reader
+from maddercart.gateway.pools import ActivePool, seconds_to_ns
+from maddercart.gateway.reader import ConfigReader
 from maddercart.interface import SECOND
 from maddercart.net.loop import Coroutine, Loop, Wait
 from maddercart.net.sockets import address, listen
@@ -24,42 +24,50 @@
 
 log = logging.getLogger(__name__)
 
-LEAST = 2  # connections that a pool or a listener has, however many there are of them
+MIN_CONNECTIONS = 2  # the least even share of a pool or a listener, however many share the descriptors
 
 
-class Ear:
-    """One listener in use."""
+class ActiveListener:
+    """A listener of the current configuration with its listening socket and client connections."""
 
-    def __init__(self, terms: Listener, sock: socket.socket, applications: Applications) -> None:
-        self.terms, self.sock, self.applications = terms, sock, applications
+    def __init__(self, config: Listener, sock: socket.socket, applications: Applications) -> None:
+        self.config, self.sock, self.applications = config, sock, applications
 
 
 class GatewayNode:
     def __init__(self, path: Path) -> None:
-        """Raises `FileError`, or `OSError` for an address that can't be listened at."""
+        """Loads the configuration file at `path` and opens all listeners.
+
+        Raises `ConfigFileError` for an unusable file, or `OSError` for an address that cannot be bound.
+        """
         self.path = path
-        self.file = read_gateway(path)
+        self.config = read_gateway(path)
         self.clock = Clock()
         self.loop = Loop(self.clock)
-        self.seed = self.file.process.seed or secrets.randbits(63)
+        self.seed = self.config.process.seed or secrets.randbits(63)
         self.routing = Routing(self.clock, self.seed)
-        self.pools: dict[str, Used] = {}
-        self.leaving: list[Used] = []  # pools of an earlier file that still hold something
-        self.ears: dict[str, Ear] = {}
-        self.longest = self.tell_at = 0
+        self.pools: dict[str, ActivePool] = {}  # by pool name
+        # Pools that the current configuration no longer has, but that still hold queries or dispatches.
+        self.draining_pools: list[ActivePool] = []
+        self.active_listeners: dict[str, ActiveListener] = {}  # by listener name
+        # The longest hard stop (a duration) so far, and the instant of the next report of routing counters.
+        self.longest_hard_stop = self.next_report_at = 0
         self.stopping = False
-        self.apply(self.file, self.open_new(self.file))
+        self.apply(self.config, self.open_sockets(self.config))
+
+    # -- applying a configuration
 
-    # -- a file in use
+    def open_sockets(self, config: GatewayConfig) -> dict[str, socket.socket]:
+        """Opens a socket for each listener address that is not bound yet; returns them by listener name.
 
-    def open_new(self, file: Gateway) -> dict[str, socket.socket]:
-        """Sockets for addresses that nobody here listens at yet: all of them, or OSError and none."""
-        had, opened = {ear.terms.address for ear in self.ears.values()}, {}
+        Raises `OSError` if an address cannot be bound; in that case no socket stays open.
+        """
+        bound, opened = {active.config.address for active in self.active_listeners.values()}, {}
         try:
-            for listener in file.listeners:
-                if listener.address not in had or listener.address.endswith(":0"):
-                    ear = self.ears.get(listener.name)
-                    if ear is None or ear.terms.address != listener.address:
+            for listener in config.listeners:
+                if listener.address not in bound or listener.address.endswith(":0"):
+                    active = self.active_listeners.get(listener.name)
+                    if active is None or active.config.address != listener.address:
                         opened[listener.name] = listen(address(listener.address))
         except OSError as error:
             for sock in opened.values():
@@ -67,169 +75,206 @@
             raise OSError(error.errno, f"{listener.address}: {error.strerror}") from error
         return opened
 
-    def apply(self, file: Gateway, opened: dict[str, socket.socket]) -> None:
-        """All of it in one turn; nothing here can fail for what a file may say."""
-        self.file = file
-        routes_of = {pool.name: routes_for(file, pool.name) for pool in file.pools}
-        former, self.pools = self.pools, {}
-        for n, pool in enumerate(file.pools):
-            used = former.pop(pool.name, None)
-            if used is None:
-                used = Used(
+    def apply(self, config: GatewayConfig, opened: dict[str, socket.socket]) -> None:
+        """Switches to a checked configuration within one turn of the loop.
+
+        `opened` are the sockets from `open_sockets`. Nothing in here may fail for any content that passed the
+        check, since a configuration takes effect as a whole or not at all.
+        """
+        self.config = config
+        routes_of = {pool.name: routes_for(config, pool.name) for pool in config.pools}
+        previous, self.pools = self.pools, {}
+        for n, pool in enumerate(config.pools):
+            active_pool = previous.pop(pool.name, None)
+            if active_pool is None:
+                active_pool = ActivePool(
                     self.loop, self.clock, self.seed + n, pool, routes_of[pool.name], self.path.parent
                 )
-            elif (used.terms, used.routes) != (pool, routes_of[pool.name]):
-                used.renew(pool, routes_of[pool.name], self.path.parent)
-            used.routes = routes_of[pool.name]
-            self.pools[pool.name] = used
-        for used in former.values():  # they finish what they hold
-            used.end_source()
-            self.leaving.append(used)
-        self.routing.renew(file.routes, self.pools, file.log)
-        self.listen_at(file, opened)
-        self.share(file)
-        stops = [nanos(route.stop) for route in file.routes]
-        self.longest = max(self.longest, *stops)  # what is held may have been taken under a longer one
-
-    def listen_at(self, file: Gateway, opened: dict[str, socket.socket]) -> None:
-        by_address = {ear.terms.address: ear for ear in self.ears.values()}
-        ears: dict[str, Ear] = {}
-        for listener in file.listeners:
-            front = HttpFront(listener.name, listener.ready, self.routing, self.serving)
+            elif (active_pool.config, active_pool.routes) != (pool, routes_of[pool.name]):
+                active_pool.reconfigure(pool, routes_of[pool.name], self.path.parent)
+            active_pool.routes = routes_of[pool.name]
+            self.pools[pool.name] = active_pool
+        for active_pool in previous.values():  # removed pools complete the queries that they hold
+            active_pool.stop_member_source()
+            self.draining_pools.append(active_pool)
+        self.routing.reconfigure(config.routes, self.pools, config.log)
+        self.apply_listeners(config, opened)
+        self.divide_resources(config)
+        hard_stops = [seconds_to_ns(route.stop) for route in config.routes]
+        # Never lowered: held queries may have been accepted under an earlier, longer hard stop.
+        self.longest_hard_stop = max(self.longest_hard_stop, *hard_stops)
+
+    def apply_listeners(self, config: GatewayConfig, opened: dict[str, socket.socket]) -> None:
+        """Starts new listeners, keeps those whose address stays and closes those that were removed."""
+        by_address = {active.config.address: active for active in self.active_listeners.values()}
+        active_listeners: dict[str, ActiveListener] = {}
+        for listener in config.listeners:
+            front = HttpFront(listener.name, listener.ready, self.routing, self.is_ready)
             if listener.name in opened:
                 sock = opened[listener.name]
                 applications = Applications(self.loop, self.clock, front, self.routing.counts)
-                ears[listener.name] = Ear(listener, sock, applications)
+                active_listeners[listener.name] = ActiveListener(listener, sock, applications)
                 applications.acceptor = self.loop.spawn(applications.accept_from(sock))
                 continue
-            ear = by_address.pop(listener.address)  # it may have another name now
-            ear.terms, ear.applications.front = listener, front
-            ears[listener.name] = ear
-        gone = [ear for ear in self.ears.values() if ear not in ears.values()]
-        self.ears = ears
-        for ear in gone:
-            log.info("listener closes", extra={"listener": ear.terms.name, "address": ear.terms.address})
+            active = by_address.pop(listener.address)  # the listener at this address may have been renamed
+            active.config, active.applications.front = listener, front
+            active_listeners[listener.name] = active
+        removed = [
+            active for active in self.active_listeners.values() if active not in active_listeners.values()
+        ]
+        self.active_listeners = active_listeners
+        for active in removed:
+            log.info("closing listener", extra={
+                "listener": active.config.name, "address": active.config.address,
+            })  # fmt: skip
             self.loop.spawn(
-                stop(self.loop, self.clock, ear.sock, ear.applications, self.longest, lambda: None)
+                stop(
+                    self.loop, self.clock, active.sock, active.applications, self.longest_hard_stop,
+                    lambda: None,
+                )
+            )  # fmt: skip
+
+    def divide_resources(self, config: GatewayConfig) -> None:
+        """Divides descriptors and body memory.
+
+        Half of the descriptors go to listeners and half to pools, in even shares; body memory is divided
+        evenly between pools.
+        """
+        free = max(2, min(config.process.descriptors, getrlimit(RLIMIT_NOFILE)[0]) - RESERVE)
+        body_bytes = int(config.process.memory_mb * MEGABYTE * BODIES)
+        for active in self.active_listeners.values():
+            active.applications.most = active.config.connections or max(
+                MIN_CONNECTIONS, free // 2 // len(self.active_listeners)
+            )
+            active.applications.most_body = max(route.body for route in config.routes)
+        for active_pool in self.pools.values():
+            active_pool.set_limits(
+                max(MIN_CONNECTIONS, (free - free // 2) // len(self.pools)), body_bytes // len(self.pools)
             )
 
-    def share(self, file: Gateway) -> None:
-        """Descriptors and memory: half of the connections for clients, half for upstreams, evenly."""
-        free = max(2, min(file.process.descriptors, getrlimit(RLIMIT_NOFILE)[0]) - RESERVE)
-        bodies = int(file.process.memory_mb * MEGABYTE * BODIES)
-        for ear in self.ears.values():
-            ear.applications.most = ear.terms.connections or max(LEAST, free // 2 // len(self.ears))
-            ear.applications.most_body = max(route.body for route in file.routes)
-        for used in self.pools.values():
-            used.limit(max(LEAST, (free - free // 2) // len(self.pools)), bodies // len(self.pools))
-
-    def renew(self) -> None:
-        """The file is read again at once, and followed as a whole or not at all."""
+    def reload(self) -> None:
+        """Reads the file on the calling thread and applies it as a whole, or not at all if it is unusable."""
         try:
-            self.follow(read_gateway(self.path))
-        except FileError as error:
-            self.follow(error)
+            self.apply_reload(read_gateway(self.path))
+        except ConfigFileError as error:
+            self.apply_reload(error)
 
-    def follow(self, file: Gateway | FileError) -> None:
+    def apply_reload(self, result: GatewayConfig | ConfigFileError) -> None:
+        """Applies a configuration that was read; logs an error and keeps the current one if that fails."""
         if self.stopping:
             return
         try:
-            if isinstance(file, FileError):
-                raise file
-            opened = self.open_new(file)
-        except FileError as error:
+            if isinstance(result, ConfigFileError):
+                raise result
+            opened = self.open_sockets(result)
+        except ConfigFileError as error:
             for line in str(error).splitlines():
-                log.error("new file can't be used", extra={"reason": line})
+                log.error("cannot apply new configuration", extra={"reason": line})
             return
         except OSError as error:
-            log.error("new file can't be used", extra={"reason": str(error)})
+            log.error("cannot apply new configuration", extra={"reason": str(error)})
             return
-        self.apply(file, opened)
+        self.apply(result, opened)
         log.info("file read again", extra={
-            "listeners": len(self.ears), "routes": len(file.routes), "pools": len(self.pools),
-            "leaving": len(self.leaving),
+            "listeners": len(self.active_listeners), "routes": len(result.routes), "pools": len(self.pools),
+            "leaving": len(self.draining_pools),
         })  # fmt: skip
 
     # -- serving
 
-    def serving(self) -> bool:
-        """Queries can be served: each pool that a route names has a member."""
-        return all(used.backing.ready() for used in self.pools.values() if used.routes)
+    def is_ready(self) -> bool:
+        """Whether each pool that a route names has a member that takes queries."""
+        return all(active_pool.backing.ready() for active_pool in self.pools.values() if active_pool.routes)
 
     def start(self) -> None:
-        self.loop.spawn(self.tell())
+        self.loop.spawn(self.report_counts())
 
     def run(self) -> None:
-        """Serves until it is told to stop."""
+        """Serves until SIGTERM has been handled."""
         self.start()
-        await_signals(self.loop, self.stop, Reader(self.loop, self.path, self.follow).ask)
+        await_signals(
+            self.loop, self.stop, ConfigReader(self.loop, self.path, self.apply_reload).request_read
+        )
         gc.collect()
         gc.freeze()
-        at = ",".join("{}:{}".format(*ear.sock.getsockname()) for ear in self.ears.values())
-        log.info("serving", extra={"listen": at, "routes": len(self.file.routes), "pools": len(self.pools)})
+        addresses = ",".join(
+            "{}:{}".format(*active.sock.getsockname()) for active in self.active_listeners.values()
+        )
+        log.info("serving", extra={
+            "listen": addresses, "routes": len(self.config.routes), "pools": len(self.pools),
+        })  # fmt: skip
         self.loop.run()
-        log.info("stopped", extra=self.figures())
+        log.info("stopped", extra=self.total_counts())
 
     def stop(self) -> None:
+        """Drains all listeners; the loop stops once the last one has closed."""
         self.stopping = True
-        left = list(self.ears.values())
+        still_open = list(self.active_listeners.values())
 
-        def leave_one(ear: Ear) -> Callable[[], None]:
-            def leave() -> None:
-                left.remove(ear)
-                self.loop.stopped = not left
+        def closed_callback(active: ActiveListener) -> Callable[[], None]:
+            def on_closed() -> None:
+                still_open.remove(active)
+                self.loop.stopped = not still_open
 
-            return leave
+            return on_closed
 
-        for ear in list(left):
-            out = leave_one(ear)
-            self.loop.spawn(stop(self.loop, self.clock, ear.sock, ear.applications, self.longest, out))
+        for active in list(still_open):
+            callback = closed_callback(active)
+            self.loop.spawn(
+                stop(
+                    self.loop, self.clock, active.sock, active.applications, self.longest_hard_stop, callback
+                )
+            )
 
-    def tell(self) -> Coroutine:
-        """Counts now and then, by pool; pools that have finished go."""
+    def report_counts(self) -> Coroutine:
+        """Periodically logs counters, per pool and for routing, and closes drained pools."""
         while True:
             yield Wait(until=self.clock() + min(COUNTS_EVERY, SECOND))
-            for used in [used for used in self.leaving if used.idle()]:
-                self.leaving.remove(used)
-                used.close()
-                log.info("pool left", extra={"pool": used.terms.name})
-            for name, used in self.pools.items():
-                if used.desk.counts and self.due(used):
-                    log.info("counts", extra={"pool": name, **self.told(used)})
-                    used.desk.counts.clear()
-                    used.desk.times.reset()
-            if self.routing.counts and self.clock() >= self.tell_at:
-                self.tell_at = self.clock() + COUNTS_EVERY
+            for active_pool in [drained for drained in self.draining_pools if drained.is_idle()]:
+                self.draining_pools.remove(active_pool)
+                active_pool.close()
+                log.info("removed pool closed", extra={"pool": active_pool.config.name})
+            for name, active_pool in self.pools.items():
+                if active_pool.decisions.counts and self.report_due(active_pool):
+                    log.info("counts", extra={"pool": name, **self.pool_figures(active_pool)})
+                    active_pool.decisions.counts.clear()
+                    active_pool.decisions.times.reset()
+            if self.routing.counts and self.clock() >= self.next_report_at:
+                self.next_report_at = self.clock() + COUNTS_EVERY
                 log.info("counts", extra=dict(sorted(self.routing.counts.items())))
                 self.routing.counts.clear()
 
-    def due(self, used: Used) -> bool:
+    def report_due(self, active_pool: ActivePool) -> bool:
+        """Whether the pool's counters are to be logged now; if so, schedules its next report."""
         now = self.clock()
-        if now < used.tell_at:
+        if now < active_pool.next_report_at:
             return False
-        used.tell_at = now + COUNTS_EVERY
+        active_pool.next_report_at = now + COUNTS_EVERY
         return True
 
-    def told(self, used: Used) -> dict[str, int | float]:
-        desk = used.desk
+    def pool_figures(self, active_pool: ActivePool) -> dict[str, int | float]:
+        """Counters since the pool's last report, latency percentiles and current gauges."""
+        decisions = active_pool.decisions
         figures: dict[str, int | float] = {
-            **dict(sorted(desk.counts.items())), "p50_ms": desk.times.get_value_at_percentile(50),
-            "p99_ms": desk.times.get_value_at_percentile(99), "held": len(desk.held), "out": len(desk.out),
-            "to_upstreams": used.backing.pool.count,
+            **dict(sorted(decisions.counts.items())), "p50_ms": decisions.times.get_value_at_percentile(50),
+            "p99_ms": decisions.times.get_value_at_percentile(99), "held": len(decisions.held),
+            "out": len(decisions.out), "to_upstreams": active_pool.backing.pool.count,
         }  # fmt: skip
-        if used.followed is not None:
-            figures["limit"] = int(used.followed.limit)
-        if used.budget is not None:
-            figures["budget"] = round(used.budget.saved, 1)
+        if active_pool.adaptive_limiter is not None:
+            figures["limit"] = int(active_pool.adaptive_limiter.limit)
+        if active_pool.retry_limiter is not None:
+            figures["budget"] = round(active_pool.retry_limiter.balance, 1)
         return figures
 
-    def figures(self) -> dict[str, int | float]:
-        whole: dict[str, int | float] = dict(self.routing.counts)
-        for used in self.pools.values():
-            for name, value in used.desk.counts.items():
-                whole[name] = whole.get(name, 0) + value
-        return whole
+    def total_counts(self) -> dict[str, int | float]:
+        """Counters since the last reports, summed over routing and all pools."""
+        totals: dict[str, int | float] = dict(self.routing.counts)
+        for active_pool in self.pools.values():
+            for name, value in active_pool.decisions.counts.items():
+                totals[name] = totals.get(name, 0) + value
+        return totals
 
 
-def routes_for(file: Gateway, pool: str) -> list[Route]:
-    return [route for route in file.routes if pool in [target.pool for target in route.to]]
+def routes_for(config: GatewayConfig, pool: str) -> list[Route]:
+    """The routes that send queries to the named pool, in file order."""
+    return [route for route in config.routes if pool in [target.pool for target in route.to]]
--- a/maddercart/gateway/pools.py
+++ b/maddercart/gateway/pools.py
@@ -1,4 +1,4 @@
-"""A pool of the gateway: a `Backing` of the sidecar's, with the terms of the routes that use it."""
+"""A pool in use: the sidecar's `Backing` for a configured pool, with the terms of the routes that use it."""
 
 import logging
 from collections.abc import Sequence
@@ -7,9 +7,9 @@
 
 from maddercart import interface as i
 from maddercart.gateway.check import read_members
-from maddercart.gateway.file import FileError, Pool, Route, Server
-from maddercart.gateway.limits import Budget, Followed
-from maddercart.gateway.members import Members, Watch, kinds, zones
+from maddercart.gateway.file import ConfigFileError, Pool, Route, Server
+from maddercart.gateway.limits import AdaptiveLimiter, RetryLimiter
+from maddercart.gateway.members import MemberList, MembersFileWatcher, kind_names, zone_names
 from maddercart.messages.headers import Headers
 from maddercart.messages.query import Query
 from maddercart.net.loop import Loop, Task
@@ -22,153 +22,177 @@
 log = logging.getLogger(__name__)
 
 EFFECTS = {"redoable": i.REDOABLE, "labelled": i.LABELLED, "irreversible": i.IRREVERSIBLE}
-PROBE_WITHIN = i.SECOND  # as long as the group waits for a canary
+PROBE_TIMEOUT_NS = i.SECOND  # the same time that the group waits for a canary
 GROUPS = {"everywhere": i.EVERYWHERE, "zone": i.SAME_ZONE, "cell": i.SAME_CELL}
 
 
-def nanos(seconds: float) -> int:
+def seconds_to_ns(seconds: float) -> int:
     return round(seconds * i.SECOND)
 
 
-def meaning(status: int, never_ran: bool) -> Ending:
-    """Of any HTTP server's answer: what it answers below 500 is its answer, be it a refusal of the request. A
-    failure may have run, whatever its status, unless it says itself that it never did."""
+def classify_status(status: int, never_ran: bool) -> Ending:
+    """The ending of a dispatch that a generic HTTP server answered with `status`.
+
+    A status below 500 other than 429 is the final answer, even if it rejects the request. Any other status is
+    a failure after which the request may have run, unless the answer states that it never ran.
+    """
     if never_ran and status in (429, 503, 504):
         return Ending.TURNED_AWAY
     return Ending.ANSWERED if status < 500 and status != 429 else Ending.FAILED
 
 
-def arguments(pool: Pool, routes: Sequence[Route]) -> dict[str, Any]:
-    """The arguments of its `Balancer`, but for clock and seed; its offerings are the routes, in order."""
-    names, cold = zones(pool), pool.cold
-    most = max((route.dispatches for route in routes), default=1)
+def balancer_arguments(pool: Pool, routes: Sequence[Route]) -> dict[str, Any]:
+    """The keyword arguments of the pool's `Balancer`, without clock and seed.
+
+    Each route is one offering; its number is the route's index in `routes`.
+    """
+    zones, cold = zone_names(pool), pool.cold
+    max_dispatches = max((route.dispatches for route in routes), default=1)
     return {
-        "place": i.Place(pool.number, pool.sidecars, names.index(pool.zone or names[0]), len(names)),
+        "place": i.Place(pool.number, pool.sidecars, zones.index(pool.zone or zones[0]), len(zones)),
         "offerings": [
-            i.Offering(EFFECTS[route.effect], GROUPS[route.group], nanos(route.window), nanos(route.agreed),
-                       route.earnings, route.late_earnings)
+            i.Offering(EFFECTS[route.effect], GROUPS[route.group], seconds_to_ns(route.window),
+                       seconds_to_ns(route.agreed), route.earnings, route.late_earnings)
             for route in routes
         ],
-        "cold": i.ColdRule(cold.start, nanos(cold.ramp), cold.multiple, nanos(cold.window)),
+        "cold": i.ColdRule(
+            cold.start, seconds_to_ns(cold.ramp), cold.multiple, seconds_to_ns(cold.window)
+        ),
         "permits": i.Permits(
-            dispatches=most, cancel=pool.cancel, probes=bool(pool.probe), come_back=nanos(pool.come_back),
-            follow=bool(pool.discovery),
+            dispatches=max_dispatches, cancel=pool.cancel, probes=bool(pool.probe),
+            come_back=seconds_to_ns(pool.come_back), follow=bool(pool.discovery),
         ),
     }  # fmt: skip
 
 
-class Probe(Query):
+class ProbeQuery(Query):
+    """The request of a probe."""
+
     def headers_for(self, wait: int) -> Headers:
         return self.headers
 
 
-class Used:
-    """One pool in use."""
+class ActivePool:
+    """A pool of the current configuration, or a removed one that still completes its queries."""
 
     def __init__(
-        self, loop: Loop, clock: Clock, seed: int, pool: Pool, routes: Sequence[Route], folder: Path
+        self, loop: Loop, clock: Clock, seed: int, pool: Pool, routes: Sequence[Route], base_dir: Path
     ) -> None:
-        self.loop, self.clock, self.terms, self.folder = loop, clock, pool, folder
-        self.members = Members(clock)
+        """Starts following the pool's members; `base_dir` is where a relative members file is looked up."""
+        self.loop, self.clock, self.config, self.base_dir = loop, clock, pool, base_dir
+        self.member_list = MemberList(clock)
         self.discovery: Discovery | None = None
-        self.watch: Task | None = None
+        self.watch_task: Task | None = None  # follows a members file
         self.backing = Backing(
-            loop, clock, seed, zones(pool), kinds(pool), arguments(pool, routes), self.follow, meaning
-        )
-        self.desk = self.backing.decisions
-        self.budget: Budget | None = None
-        self.followed: Followed | None = None
-        self.routes, self.tell_at = list(routes), 0
-        self.places: dict[str, int] = {}
-        self.take_terms(pool, routes)
-        self.sweeper = loop.spawn(self.backing.pool.sweep())
-        self.source(pool)
-
-    def follow(self) -> None:
+            loop, clock, seed, zone_names(pool), kind_names(pool), balancer_arguments(pool, routes),
+            self.follow_discovery, classify_status,
+        )  # fmt: skip
+        self.decisions = self.backing.decisions
+        self.retry_limiter: RetryLimiter | None = None
+        self.adaptive_limiter: AdaptiveLimiter | None = None
+        self.routes, self.next_report_at = list(routes), 0
+        self.offering_numbers: dict[str, int] = {}  # by route name
+        self.apply_config(pool, routes)
+        self.sweep_task = loop.spawn(self.backing.pool.sweep())
+        self.start_member_source(pool)
+
+    def follow_discovery(self) -> None:
         if self.discovery is not None:
             self.discovery.follow()
 
-    def take_terms(self, pool: Pool, routes: Sequence[Route]) -> None:
-        """What holds from the next query on."""
-        self.places = {route.name: place for place, route in enumerate(routes)}
-        self.desk.whole = pool.come_back_whole
-        self.desk.probe_by = self.probe if pool.probe else None
+    def apply_config(self, pool: Pool, routes: Sequence[Route]) -> None:
+        """Applies the settings that take effect with the next query."""
+        self.offering_numbers = {route.name: number for number, route in enumerate(routes)}
+        self.decisions.whole = pool.come_back_whole
+        self.decisions.probe_by = self.probe_query if pool.probe else None
         if pool.retries is None:
-            self.budget = None
-        elif self.budget is None:
-            self.budget = Budget(pool.retries.share, pool.retries.burst)
+            self.retry_limiter = None
+        elif self.retry_limiter is None:
+            self.retry_limiter = RetryLimiter(pool.retries.share, pool.retries.burst)
         else:
-            self.budget.set(pool.retries.share, pool.retries.burst)
-        if (wanted := pool.adaptive) is None:
-            self.followed = None
-        elif self.followed is None:
-            self.followed = Followed(wanted.least, wanted.most, wanted.tolerance)
+            self.retry_limiter.configure(pool.retries.share, pool.retries.burst)
+        if (adaptive := pool.adaptive) is None:
+            self.adaptive_limiter = None
+        elif self.adaptive_limiter is None:
+            self.adaptive_limiter = AdaptiveLimiter(adaptive.least, adaptive.most, adaptive.tolerance)
         else:
-            self.followed.set(wanted.least, wanted.most, wanted.tolerance)
+            self.adaptive_limiter.configure(adaptive.least, adaptive.most, adaptive.tolerance)
 
-    def probe(self, upstream: int) -> Query:
-        host = self.terms.probe_host or self.backing.upstreams.names.get(upstream, "")
+    def probe_query(self, upstream: int) -> Query:
+        """The probe that is sent to the upstream with this number."""
+        host = self.config.probe_host or self.backing.upstreams.names.get(upstream, "")
         headers = [(b"Host", host.encode()), (b"User-Agent", b"maddercart-probe")]
-        return Probe(b"GET", self.terms.probe.encode(), headers, b"", 0, PROBE_WITHIN, b"")
+        return ProbeQuery(b"GET", self.config.probe.encode(), headers, b"", 0, PROBE_TIMEOUT_NS, b"")
 
-    def limit(self, connections: int, bodies: int) -> None:
-        self.backing.limit(connections, bodies, nanos(self.terms.idle), nanos(self.terms.connect_timeout))
-        if self.terms.answer:
-            self.backing.pool.most_body = self.terms.answer
+    def set_limits(self, max_connections: int, body_bytes: int) -> None:
+        """Limits connections to upstreams and the memory for bodies, in bytes."""
+        self.backing.limit(
+            max_connections, body_bytes, seconds_to_ns(self.config.idle),
+            seconds_to_ns(self.config.connect_timeout),
+        )  # fmt: skip
+        if self.config.answer:
+            self.backing.pool.most_body = self.config.answer
 
     # -- members
 
-    def source(self, pool: Pool) -> None:
-        """Begins to hear of its members. What it knows stays until something else is told."""
+    def start_member_source(self, pool: Pool) -> None:
+        """Starts following the members of `pool`; known members stay until the source reports others."""
         if pool.discovery:
             learn, failed = self.backing.learn, self.backing.list_failed
-            at = address(pool.discovery)
-            self.discovery = Discovery(self.loop, self.clock, at, self.backing.upstreams, learn, failed)
+            service_address = address(pool.discovery)
+            self.discovery = Discovery(
+                self.loop, self.clock, service_address, self.backing.upstreams, learn, failed
+            )
             self.backing.dispatcher.news = self.discovery.news
             self.discovery.follow()
         elif pool.file:
-            path = self.folder / pool.file
-            watch = Watch(self.clock, path, pool, self.told)
+            path = self.base_dir / pool.file
+            watcher = MembersFileWatcher(self.clock, path, pool, self.update_members)
             try:
-                self.told(read_members(path, pool))
-            except FileError:  # it has changed since the check: what is known stays until it can be read
-                watch.seen = None
-            self.watch = self.loop.spawn(watch.run())
+                self.update_members(read_members(path, pool))
+            except ConfigFileError:  # changed since the check: keep known members until it is readable again
+                watcher.last_stamp = None
+            self.watch_task = self.loop.spawn(watcher.run())
         else:
-            self.told(pool.servers)
+            self.update_members(pool.servers)
 
-    def told(self, servers: Sequence[Server]) -> None:
-        self.backing.learn([self.members.listing(servers, self.terms)])
+    def update_members(self, servers: Sequence[Server]) -> None:
+        self.backing.learn([self.member_list.listing(servers, self.config)])
 
-    def end_source(self) -> None:
-        if self.watch is not None:
-            self.loop.end(self.watch)
+    def stop_member_source(self) -> None:
+        if self.watch_task is not None:
+            self.loop.end(self.watch_task)
         if self.discovery is not None:
             self.discovery.close()
             self.backing.dispatcher.news = lambda: False
-        self.watch = self.discovery = None
+        self.watch_task = self.discovery = None
+
+    # -- reload
 
-    # -- another file
+    def reconfigure(self, pool: Pool, routes: Sequence[Route], base_dir: Path) -> None:
+        """Switches to a new configuration.
 
-    def renew(self, pool: Pool, routes: Sequence[Route], folder: Path) -> None:
-        """Held queries keep their terms; what is known of upstreams stays (`Balancer.renew`)."""
-        former, self.terms, self.folder = self.terms, pool, folder
-        self.take_terms(pool, routes)
-        renumbered = self.backing.switch(zones(pool), kinds(pool), arguments(pool, routes))
-        sourced = [(one.discovery, one.file) for one in (former, pool)]
-        if sourced[0] == sourced[1] and pool.discovery:
+        Held queries keep the terms under which they were accepted, and the balancer keeps what it knows of
+        upstreams.
+        """
+        previous, self.config, self.base_dir = self.config, pool, base_dir
+        self.apply_config(pool, routes)
+        renumbered = self.backing.switch(zone_names(pool), kind_names(pool), balancer_arguments(pool, routes))
+        sources = [(each.discovery, each.file) for each in (previous, pool)]
+        if sources[0] == sources[1] and pool.discovery:
             if renumbered and self.discovery is not None:
                 self.discovery.begin_anew()
             return
-        self.end_source()
-        self.source(pool)
+        self.stop_member_source()
+        self.start_member_source(pool)
 
-    def idle(self) -> bool:
-        return not (self.desk.held or self.desk.out)
+    def is_idle(self) -> bool:
+        """Whether the pool holds no query and no dispatch."""
+        return not (self.decisions.held or self.decisions.out)
 
     def close(self) -> None:
-        """Once nothing of it is held: connections and coroutines end."""
-        self.end_source()
-        self.loop.end(self.sweeper)
+        """Ends the coroutines and closes the connections of an idle pool."""
+        self.stop_member_source()
+        self.loop.end(self.sweep_task)
         self.backing.upstreams.ready.clear()
         self.backing.pool.drop_unwanted()
--- a/maddercart/gateway/reader.py
+++ b/maddercart/gateway/reader.py
@@ -1,5 +1,4 @@
-"""Reads a file in a thread of its own: a thousand routes take 70 ms, for which the loop would stand still.
-What is asked for meanwhile is one more reading, however often it was asked for."""
+"""Reads the configuration file in a thread: parsing 1000 routes takes 70 ms, which would block the loop."""
 
 import os
 import socket
@@ -8,44 +7,50 @@
 from pathlib import Path
 
 from maddercart.gateway.check import read_gateway
-from maddercart.gateway.file import FileError, Gateway
+from maddercart.gateway.file import ConfigFileError, GatewayConfig
 from maddercart.net.loop import READ, Coroutine, Loop, Wait
 
 
-class Reader:
-    """`done` is called in the loop's own thread with the file, or with what is wrong with it."""
+class ConfigReader:
+    """Calls `on_read` on the loop's thread with the configuration, or with the error if it is unusable.
 
-    def __init__(self, loop: Loop, path: Path, done: Callable[[Gateway | FileError], None]) -> None:
-        self.path, self.done = path, done
-        self.inner, self.outer = socket.socketpair()
-        self.inner.setblocking(False)
-        self.reading = self.again = False
-        self.result: Gateway | FileError | None = None
-        loop.spawn(self.wait())
+    Any number of requests during a read result in one further read.
+    """
 
-    def ask(self) -> None:
-        if self.reading:  # it may have been written anew since that began
-            self.again = True
+    def __init__(
+        self, loop: Loop, path: Path, on_read: Callable[[GatewayConfig | ConfigFileError], None]
+    ) -> None:
+        self.path, self.on_read = path, on_read
+        self.wake_receiver, self.wake_sender = socket.socketpair()
+        self.wake_receiver.setblocking(False)
+        self.reading = self.read_again = False
+        self.result: GatewayConfig | ConfigFileError | None = None
+        loop.spawn(self.deliver_results())
+
+    def request_read(self) -> None:
+        if self.reading:  # the file may have changed after the read in progress began
+            self.read_again = True
             return
         self.reading = True
         threading.Thread(target=self.read, daemon=True).start()
 
     def read(self) -> None:
+        """Runs in the thread."""
         try:
             self.result = read_gateway(self.path)
-        except FileError as error:
+        except ConfigFileError as error:
             self.result = error
-        except Exception as error:  # whatever else it is, it must not leave the reader reading for ever
-            self.result = FileError(str(self.path), [("", f"{type(error).__name__}: {error}")])
-        self.outer.send(b"x")
+        except Exception as error:  # without a result, `reading` would stay set and no file be read again
+            self.result = ConfigFileError(str(self.path), [("", f"{type(error).__name__}: {error}")])
+        self.wake_sender.send(b"x")
 
-    def wait(self) -> Coroutine:
+    def deliver_results(self) -> Coroutine:
         while True:
-            yield Wait(self.inner.fileno(), READ)
-            os.read(self.inner.fileno(), 64)
+            yield Wait(self.wake_receiver.fileno(), READ)
+            os.read(self.wake_receiver.fileno(), 64)
             result, self.reading = self.result, False
-            if self.again:
-                self.again = False
-                self.ask()
+            if self.read_again:
+                self.read_again = False
+                self.request_read()
             if result is not None:
-                self.done(result)
+                self.on_read(result)
--- a/maddercart/gateway/targets.py
+++ b/maddercart/gateway/targets.py
@@ -1,43 +1,48 @@
-"""What a request asks for: host and path in one form, the same for the choice of a route and for upstreams.
-
-The rules, one each:
-- An absolute URL's authority is the host, whatever `Host` says; what is sent on is its path, with that host.
-- A host has no port and no capitals here, and no dot at its end; what is sent on keeps the client's.
-- `%41` and the like (letters, digits, `-._~`) are decoded; other escapes stay, in capitals: an encoded slash
-  is no border between segments, neither here nor for the upstream.
-- Dot segments, also as `%2e`, are refused: what one removes, another one does not.
-- An empty path is `/`; empty segments stay; the query is never touched.
+"""Normalizes the target and host of a request, so that route matching and upstreams see the same path.
+
+- The authority of an absolute URL takes precedence over the Host header. The URL's path is sent on, with its
+  authority as Host.
+- For matching, a host has no port, no trailing dot and no capital letters; it is sent on unchanged.
+- Percent-encoded unreserved characters (letters, digits, `-._~`) are decoded. Other escapes stay, in upper
+  case: an encoded slash does not separate segments, neither here nor at the upstream.
+- Dot segments, also as `%2e`, are rejected, because servers differ in whether they remove them.
+- An empty path becomes `/`; empty segments and the query string are left unchanged.
 """
 
 import re
 from typing import NamedTuple
 
-ESCAPE = re.compile(r"%([0-9A-Fa-f]{2})|%")
-PLAIN = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-ALLOWED = re.compile(r"[A-Za-z0-9\-._~!$&'()*+,;=:@/%]*")  # of a path, by RFC 3986
-ABSOLUTE = re.compile(r"(?i)https?://([^/?#]*)")
-HOST = re.compile(r"(?:[A-Za-z0-9_.-]+|\[[0-9A-Fa-f:.]+\])(?::[0-9]{1,5})?")
+PERCENT_ESCAPE = re.compile(r"%([0-9A-Fa-f]{2})|%")  # without a group: a % that begins no valid escape
+UNRESERVED = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
+PATH_CHARACTERS = re.compile(r"[A-Za-z0-9\-._~!$&'()*+,;=:@/%]*")  # RFC 3986
+ABSOLUTE_URL = re.compile(r"(?i)https?://([^/?#]*)")
+AUTHORITY = re.compile(r"(?:[A-Za-z0-9_.-]+|\[[0-9A-Fa-f:.]+\])(?::[0-9]{1,5})?")
 
 
 class BadTarget(ValueError):
-    """A request whose target has no single reading; it is refused with 400 and not sent on."""
+    """The target or host is invalid or ambiguous; the request is answered with 400 and not sent on.
+
+    The message is the body of that answer.
+    """
+
 
+class RequestTarget(NamedTuple):
+    """The normalized target of a request."""
 
-class Wanted(NamedTuple):
-    host: str  # as routes name it; empty: none was given
+    host: str  # in the form that routes match on; empty if the request names none
     path: str
-    target: str  # to be sent on: path and query
-    authority: str  # to be sent on as `Host`
+    target: str  # path and query string to send on
+    authority: str  # the Host header to send on
 
 
-def wanted(target: bytes, host: bytes | None) -> Wanted:
-    """Raises `BadTarget`."""
+def parse_target(target: bytes, host: bytes | None) -> RequestTarget:
+    """Normalizes a request target; `host` is the Host header, None if there is none. Raises `BadTarget`."""
     try:
         text, authority = target.decode("ascii"), (host or b"").decode("ascii").strip()
     except UnicodeDecodeError as error:
         raise BadTarget("the target or Host is not ASCII") from error
-    if found := ABSOLUTE.match(text):
-        authority, text = found[1], text[found.end() :]
+    if url := ABSOLUTE_URL.match(text):
+        authority, text = url[1], text[url.end() :]
         if "@" in authority:
             raise BadTarget("the URL has a user in it")
         if not authority:
@@ -45,37 +50,39 @@
         text = text if text.startswith("/") else "/" + text
     elif not text.startswith("/"):
         raise BadTarget("the target is neither a path nor an absolute URL")
-    if authority and not HOST.fullmatch(authority):
+    if authority and not AUTHORITY.fullmatch(authority):
         raise BadTarget("Host is no name with a port")
     if "#" in text:
         raise BadTarget("the target has a fragment")
-    path, mark, query = text.partition("?")
-    path = plain(path)
-    return Wanted(host_name(authority), path, path + mark + query, authority)
+    path, separator, query = text.partition("?")
+    path = normalize_path(path)
+    return RequestTarget(host_name(authority), path, path + separator + query, authority)
 
 
 def host_name(authority: str) -> str:
+    """The host in lower case, without port and trailing dots."""
     name = authority.lower()
     if not name.endswith("]"):
         name = name.rpartition(":")[0] if re.search(r":[0-9]+$", name) else name
     return name.rstrip(".") if not name.startswith("[") else name
 
 
-def plain(path: str) -> str:
-    """The path in its one form. Raises `BadTarget`."""
+def normalize_path(path: str) -> str:
+    """Raises `BadTarget` for invalid escapes or characters, and for dot segments."""
     if "%" in path:
-        path = ESCAPE.sub(decoded, path)
-    if not ALLOWED.fullmatch(path):
+        path = PERCENT_ESCAPE.sub(normalize_escape, path)
+    if not PATH_CHARACTERS.fullmatch(path):
         raise BadTarget("the path has a character that must be escaped")
     if "/." in path and any(segment in (".", "..") for segment in path.split("/")):
         raise BadTarget("the path has a dot segment")
     return path or "/"
 
 
-def decoded(escape: re.Match[str]) -> str:
+def normalize_escape(escape: re.Match[str]) -> str:
+    """The unreserved character that an escape stands for, else the escape in upper case."""
     if escape[1] is None:
         raise BadTarget("the path has a % that escapes nothing")
     character = chr(int(escape[1], 16))
     if character in "\0\r\n":
         raise BadTarget("the path has an escaped control character")
-    return character if character in PLAIN else escape[0].upper()
+    return character if character in UNRESERVED else escape[0].upper()
--- a/tests/gateway/desk.py
+++ b/tests/gateway/desk.py
@@ -1,4 +1,4 @@
-"""A gateway with its stand-ins and loads in one thread, turned by hand."""
+"""Runs a gateway, its fake upstreams and load generators in one thread, on a loop that tests step through."""
 
 import time
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 LISTENER = '[[listeners]]\nname = "front"\naddress = "127.0.0.1:0"\n'
 
 
-class GatewayDesk:
+class GatewayHarness:
     def __init__(self, folder: Path, servers: dict[str, str], terms: Terms | None = None) -> None:
-        """`servers`: by name, the zone of each."""
+        """`servers` maps names to zones; `terms` apply to each fake upstream."""
         from maddercart.net.loop import Loop
 
         self.path, self.clock = folder / "gateway.toml", Clock()
         self.loop = Loop(self.clock)
-        self.stands = {
+        self.upstreams = {
             name: StandIn(self.loop, self.clock, ("127.0.0.1", 0), terms or Terms(5.0, 0.2))
             for name in servers
         }
@@ -32,8 +32,9 @@
         self.node: GatewayNode | None = None
 
     def servers(self, *names: str) -> str:
+        """The configuration of the named servers."""
         return "".join(
-            SERVER.format(name=name, host="127.0.0.1", port=self.stands[name].at[1], zone=self.zones[name])
+            SERVER.format(name=name, host="127.0.0.1", port=self.upstreams[name].at[1], zone=self.zones[name])
             for name in names
         )
 
@@ -41,65 +42,69 @@
         self.path.write_text(text)
 
     def open(self, text: str) -> GatewayNode:
+        """Starts the gateway with this configuration."""
         self.write(text)
         self.node = GatewayNode(self.path)
         self.node.start()
-        # One loop for all: the stand-ins' descriptors and timers go on in the gateway's.
-        mine, self.loop = self.loop, self.node.loop
-        for stand in self.stands.values():
-            stand.loop = self.loop
-            if stand.acceptor is not None:
-                mine.end(stand.acceptor)
-            mine.forget(stand.listener.fileno())
-            stand.acceptor = self.loop.spawn(stand.accept())
-        mine.epoll.close()
+        # The fake upstreams move to the gateway's loop, so that one loop runs everything.
+        setup_loop, self.loop = self.loop, self.node.loop
+        for upstream in self.upstreams.values():
+            upstream.loop = self.loop
+            if upstream.acceptor is not None:
+                setup_loop.end(upstream.acceptor)
+            setup_loop.forget(upstream.listener.fileno())
+            upstream.acceptor = self.loop.spawn(upstream.accept())
+        setup_loop.epoll.close()
         return self.node
 
     @property
     def port(self) -> int:
         assert self.node is not None
-        port: int = next(iter(self.node.ears.values())).sock.getsockname()[1]
+        port: int = next(iter(self.node.active_listeners.values())).sock.getsockname()[1]
         return port
 
-    def turn(self, until: Callable[[], Any], within: float = 20.0) -> Any:
-        end = time.monotonic() + within
-        while not (so := until()):
-            assert time.monotonic() < end, "it did not come about"
+    def run_until(self, condition: Callable[[], Any], timeout: float = 20.0) -> Any:
+        """Runs the loop until `condition` is true and returns its value; `timeout` is in seconds."""
+        deadline = time.monotonic() + timeout
+        while not (value := condition()):
+            assert time.monotonic() < deadline, "the condition was not met in time"
             self.loop.at(self.clock() + 2 * MILLISECOND, lambda: None)
             self.loop.turn()
-        return so
+        return value
 
-    def turn_for(self, seconds: float) -> None:
-        end = time.monotonic() + seconds
-        self.turn(lambda: time.monotonic() >= end)
+    def run_for(self, seconds: float) -> None:
+        deadline = time.monotonic() + seconds
+        self.run_until(lambda: time.monotonic() >= deadline)
 
-    def load(self, asked: Asked, rate: float, seconds: float, prefix: str = "r", seed: int = 1) -> Load:
+    def start_load(self, asked: Asked, rate: float, seconds: float, prefix: str = "r", seed: int = 1) -> Load:
         load = Load(self.loop, self.clock, ("127.0.0.1", self.port), asked, prefix)
-        self.loads.append(load)  # its connections must not be closed behind the loop's back
+        self.loads.append(
+            load
+        )  # keeps the load alive: its sockets must not be closed while the loop has them
         load.start(Shape(rate=rate, seconds=seconds, seed=seed).times())
         return load
 
-    def play(self, asked: Asked, rate: float, seconds: float, prefix: str = "r") -> Outcome:
-        load = self.load(asked, rate, seconds, prefix)
-        self.turn(load.over, seconds + asked.patience + 5)
+    def run_load(self, asked: Asked, rate: float, seconds: float, prefix: str = "r") -> Outcome:
+        load = self.start_load(asked, rate, seconds, prefix)
+        self.run_until(load.over, seconds + asked.patience + 5)
         return load.outcome
 
-    def runs(self) -> dict[str, int]:
-        """By request id, over all stand-ins."""
-        ran: dict[str, int] = {}
-        for stand in self.stands.values():
-            for name, count in stand.runs.items():
-                ran[name] = ran.get(name, 0) + count
-        return ran
+    def run_counts(self) -> dict[str, int]:
+        """How often each request ran on all fake upstreams together, by request id."""
+        counts: dict[str, int] = {}
+        for upstream in self.upstreams.values():
+            for request_id, count in upstream.runs.items():
+                counts[request_id] = counts.get(request_id, 0) + count
+        return counts
 
     def close(self) -> None:
         for load in self.loads:
             load.close()
         for task in list(self.loop.waiting.values()):
             self.loop.end(task)
-        for stand in self.stands.values():
-            close(self.loop, stand.listener)
+        for upstream in self.upstreams.values():
+            close(self.loop, upstream.listener)
         if self.node is not None:
-            for ear in self.node.ears.values():
-                close(self.loop, ear.sock)
+            for active in self.node.active_listeners.values():
+                close(self.loop, active.sock)
         self.loop.epoll.close()
