--- a/maddercart/http/__init__.py
+++ b/maddercart/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 as state machines on h11 that are fed bytes and know no socket."""
+"""HTTP/1.1 as sans-I/O state machines on h11: bytes in, events and bytes out."""
--- a/maddercart/http/upstream.py
+++ b/maddercart/http/upstream.py
@@ -1,4 +1,4 @@
-"""The side towards an upstream: one request out as bytes, one answer out of the bytes that come back."""
+"""The client side of HTTP/1.1: serializes requests to an upstream and parses its responses."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -7,58 +7,63 @@
 
 
 class Malformed(ValueError):
-    """What came back is no answer, or one over the limit."""
+    """The received data is not a valid HTTP response or exceeds the size limit."""
 
 
 class WholeAnswer(NamedTuple):
+    """A complete response; header names keep the spelling of the upstream."""
+
     status: int
-    headers: Sequence[tuple[bytes, bytes]]  # the names as they were written
+    headers: Sequence[tuple[bytes, bytes]]
     body: bytes
 
 
 class UpstreamSide:
-    """One connection, which carries one request at a time; an answer's body may hold `most` bytes."""
+    """One connection, which carries one request at a time; `max_body_bytes` limits the body of a response."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.machine = h11.Connection(h11.CLIENT)
+    def __init__(self, max_body_bytes: int) -> None:
+        self.max_body_bytes = max_body_bytes
+        self.connection = h11.Connection(h11.CLIENT)
         self.response: h11.Response | None = None
         self.body = bytearray()
 
     @property
     def held(self) -> int:
-        """How many bytes of a body have come."""
+        """The number of bytes of the body received so far."""
         return len(self.body)
 
     @property
     def begun(self) -> bool:
-        """Something of an answer has come."""
-        return self.response is not None or bool(self.machine.trailing_data[0])
+        """Whether a response has been received in part."""
+        return self.response is not None or bool(self.connection.trailing_data[0])
 
     def request(
         self, method: bytes, target: bytes, headers: Sequence[tuple[bytes, bytes]], body: bytes
     ) -> bytes:
-        out = self.machine.send(h11.Request(method=method, target=target, headers=list(headers))) or b""
+        data = self.connection.send(h11.Request(method=method, target=target, headers=list(headers))) or b""
         if body:
-            out += self.machine.send(h11.Data(data=body)) or b""
-        return out + (self.machine.send(h11.EndOfMessage()) or b"")
+            data += self.connection.send(h11.Data(data=body)) or b""
+        return data + (self.connection.send(h11.EndOfMessage()) or b"")
 
     def feed(self, data: bytes) -> WholeAnswer | None:
-        """The answer once it is whole; empty data once the upstream has ended its sending. Raises
-        `Malformed`, also for an answer that the end has cut short."""
+        """Returns the response once it is complete, else None.
+
+        Empty data means that the upstream has closed its sending side. Raises `Malformed`, also for a
+        response that the close has truncated.
+        """
         try:
-            self.machine.receive_data(data)
+            self.connection.receive_data(data)
             while True:
-                event = self.machine.next_event()
+                event = self.connection.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return None
                 if isinstance(event, h11.Response):
-                    self.check_length(event)
+                    self.check_content_length(event)
                     self.response = event
                 elif isinstance(event, h11.Data):
                     self.body += event.data
-                    if len(self.body) > self.most:
-                        raise Malformed("the body is over the limit")
+                    if len(self.body) > self.max_body_bytes:
+                        raise Malformed("response body exceeds the size limit")
                 elif isinstance(event, h11.EndOfMessage):
                     response, body, self.response, self.body = self.response, self.body, None, bytearray()
                     assert response is not None
@@ -68,17 +73,20 @@
         except h11.RemoteProtocolError as error:
             raise Malformed(str(error)) from error
 
-    def check_length(self, response: h11.Response) -> None:
-        """Before the body comes: what can't be held is not begun."""
+    def check_content_length(self, response: h11.Response) -> None:
+        """Rejects a body that is too large before it is read. Raises `Malformed`."""
         for name, value in response.headers:
-            if name == b"content-length" and int(value) > self.most:
-                raise Malformed("the body is over the limit")
+            if name == b"content-length" and int(value) > self.max_body_bytes:
+                raise Malformed("response body exceeds the size limit")
 
     def reuse(self) -> bool:
-        """After a whole answer: true if the connection can carry a further request."""
-        if self.machine.trailing_data[0] or self.machine.our_state is not h11.DONE:
+        """Prepares for a further request after a complete response.
+
+        Returns false if the connection cannot carry one.
+        """
+        if self.connection.trailing_data[0] or self.connection.our_state is not h11.DONE:
             return False
-        if self.machine.their_state is not h11.DONE:
+        if self.connection.their_state is not h11.DONE:
             return False
-        self.machine.start_next_cycle()
+        self.connection.start_next_cycle()
         return True
--- a/maddercart/http/values.py
+++ b/maddercart/http/values.py
@@ -1,71 +1,77 @@
-"""Cuts JSON values out of bytes that come in parts, without parsing any of them: a value may span lines and
-parts, and two may share one. Each byte is looked at once."""
+"""Splits a byte stream into JSON values without parsing them.
+
+A value may span several lines and chunks, and a line or chunk may hold several values. Each byte is scanned
+once.
+"""
 
 import re
 
-# All up to a bracket outside of strings, or up to a string that does not end here; inside of a value also
-# objects that hold no other, which is what a list's lines are.
-PLAIN = rb'[^"{}\[\]]++|"(?:[^"\\]++|\\.)*+"'
-SKIP = re.compile(rb"(?:%s)*+" % PLAIN, re.DOTALL)
-INSIDE = re.compile(rb"(?:%s|\{(?:%s)*+\})*+" % (PLAIN, PLAIN), re.DOTALL)
-REST = re.compile(rb'(?:[^"\\]++|\\.)*+', re.DOTALL)  # of a string, or as much of it as has come
-OPENS, CLOSES, QUOTE = b"{[", b"}]", 0x22
+# OUTSIDE_VALUE matches up to the next bracket outside of strings, or up to a string that is not complete yet.
+# INSIDE_VALUE also skips objects without nested objects or arrays, such as the entries of an upstream list.
+TOKEN = rb'[^"{}\[\]]++|"(?:[^"\\]++|\\.)*+"'
+OUTSIDE_VALUE = re.compile(rb"(?:%s)*+" % TOKEN, re.DOTALL)
+INSIDE_VALUE = re.compile(rb"(?:%s|\{(?:%s)*+\})*+" % (TOKEN, TOKEN), re.DOTALL)
+STRING_REST = re.compile(rb'(?:[^"\\]++|\\.)*+', re.DOTALL)  # up to the closing quote or the end of the data
+OPENING, CLOSING, QUOTE = b"{[", b"}]", 0x22
+
 
+class JsonStreamError(ValueError):
+    """The data is neither an object nor an array, or exceeds the size limit."""
 
-class NoValue(ValueError):
-    """What came is neither an object nor a list, or one over the limit."""
 
+class JsonSplitter:
+    """`max_bytes` is the maximum size of a value that is not complete yet."""
 
-class Values:
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.part = bytearray()  # of a value that is not whole yet, and what has come behind it
-        self.looked = self.depth = 0  # so far, and how deep that is
-        self.inside = False  # of a string
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.buffer = bytearray()
+        self.position = self.depth = 0  # end of the scanned part of the buffer, and its nesting depth
+        self.in_string = False
 
     @property
-    def begun(self) -> bool:
+    def in_value(self) -> bool:
+        """Whether a value has been received in part."""
         return bool(self.depth)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The values that have become whole. Raises `NoValue`."""
-        self.part += data
+        """Returns the values that are now complete. Raises `JsonStreamError`."""
+        self.buffer += data
         values: list[bytes] = []
-        begins = 0
-        while self.looked < len(self.part):
-            if self.inside:
-                self.looked = self.matched(REST)
-                if self.looked < len(self.part) and self.part[self.looked] == QUOTE:
-                    self.looked, self.inside = self.looked + 1, False
+        start = 0
+        while self.position < len(self.buffer):
+            if self.in_string:
+                self.position = self.match_end(STRING_REST)
+                if self.position < len(self.buffer) and self.buffer[self.position] == QUOTE:
+                    self.position, self.in_string = self.position + 1, False
                     continue
-                break  # it ends, or breaks off behind a backslash
-            at = self.matched(INSIDE if self.depth else SKIP)
-            if not self.depth and self.part[begins:at].strip():
-                raise NoValue("what came is no JSON object")
-            if at == len(self.part):
-                self.looked = at
+                break  # more data is needed: the buffer ends within the string, perhaps after a backslash
+            end = self.match_end(INSIDE_VALUE if self.depth else OUTSIDE_VALUE)
+            if not self.depth and self.buffer[start:end].strip():
+                raise JsonStreamError("neither a JSON object nor an array")
+            if end == len(self.buffer):
+                self.position = end
                 break
-            self.looked, found = at + 1, self.part[at]
-            if found == QUOTE:
-                self.inside = True
-            elif found in OPENS:
-                begins, self.depth = (begins if self.depth else at), self.depth + 1
+            self.position, character = end + 1, self.buffer[end]
+            if character == QUOTE:
+                self.in_string = True
+            elif character in OPENING:
+                start, self.depth = (start if self.depth else end), self.depth + 1
             else:
                 self.depth -= 1
-            if self.depth < 0 or (self.inside and not self.depth):
-                raise NoValue("what came is no JSON object")
-            if found in CLOSES and not self.depth:
-                values.append(bytes(self.part[begins : self.looked]))
-                begins = self.looked
+            if self.depth < 0 or (self.in_string and not self.depth):
+                raise JsonStreamError("neither a JSON object nor an array")
+            if character in CLOSING and not self.depth:
+                values.append(bytes(self.buffer[start : self.position]))
+                start = self.position
         if not self.depth:
-            begins = self.looked  # blanks between two
-        if begins:
-            del self.part[:begins]
-            self.looked -= begins
-        if len(self.part) > self.most:
-            raise NoValue("a value is over the limit")
+            start = self.position  # discards whitespace between values
+        if start:
+            del self.buffer[:start]
+            self.position -= start
+        if len(self.buffer) > self.max_bytes:
+            raise JsonStreamError("JSON value exceeds the size limit")
         return values
 
-    def matched(self, what: re.Pattern[bytes]) -> int:
-        found = what.match(self.part, self.looked)
-        return found.end() if found else self.looked
+    def match_end(self, pattern: re.Pattern[bytes]) -> int:
+        match = pattern.match(self.buffer, self.position)
+        return match.end() if match else self.position
--- a/maddercart/http/watch.py
+++ b/maddercart/http/watch.py
@@ -1,66 +1,77 @@
-"""Discovery's answers: the whole list, or a chunked one that stays open and holds a value for each change."""
+"""The client side of discovery's HTTP interface.
+
+A response holds either the full list, or, for a watch, stays open and sends a JSON value for each change.
+"""
 
 import h11
 
-from maddercart.http.values import NoValue, Values
+from maddercart.http.values import JsonSplitter, JsonStreamError
 
-MOST_VALUE = 4 * 1024 * 1024  # a whole list of some ten thousand upstreams
+MAX_VALUE_BYTES = 4 * 1024 * 1024  # enough for a full list of about ten thousand upstreams
 
 
 class WatchFailed(ValueError):
-    """Discovery answered with something other than a list, or broke off."""
+    """Discovery sent something other than a list, or the connection broke."""
 
 
 class NoList(WatchFailed):
-    """What came can't be read or used, so that it is not known what the list is now."""
+    """Data of the list was invalid, so that the current state of the list is unknown."""
 
 
 class WatchSide:
-    """One connection: requests one after another, the last of which may be the watch."""
+    """One connection to discovery: successive requests, the last of which may be the watch.
+
+    `host` is the value of the Host header. `asked` is true once a request was made, `ended` once its response
+    is complete and a further request may follow.
+    """
 
     def __init__(self, host: str) -> None:
-        self.machine = h11.Connection(h11.CLIENT)
+        self.connection = h11.Connection(h11.CLIENT)
         self.host = host.encode()
-        self.values = Values(MOST_VALUE)
+        self.splitter = JsonSplitter(MAX_VALUE_BYTES)
         self.asked = False
-        self.ended = False  # the answer is whole, and a further request may follow
+        self.ended = False
 
     @property
     def part(self) -> bool:
-        """A value has begun and is not whole yet."""
-        return self.values.begun
+        """Whether a value has been received in part."""
+        return self.splitter.in_value
 
     def request(self, target: str) -> bytes:
         if self.ended:
-            self.machine.start_next_cycle()
+            self.connection.start_next_cycle()
             self.ended = False
         self.asked = True
         headers = [(b"Host", self.host), (b"Accept", b"application/json")]
-        out = self.machine.send(h11.Request(method=b"GET", target=target.encode(), headers=headers)) or b""
-        return out + (self.machine.send(h11.EndOfMessage()) or b"")
+        data = (
+            self.connection.send(h11.Request(method=b"GET", target=target.encode(), headers=headers)) or b""
+        )
+        return data + (self.connection.send(h11.EndOfMessage()) or b"")
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The JSON values that have become whole; blanks between them are only a sign of life. Raises
-        `WatchFailed`."""
-        whole: list[bytes] = []
+        """Returns the JSON values that are now complete. Whitespace between them is only a keep-alive signal.
+
+        Raises `WatchFailed`.
+        """
+        values: list[bytes] = []
         try:
-            self.machine.receive_data(data)
+            self.connection.receive_data(data)
             while True:
-                event = self.machine.next_event()
+                event = self.connection.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
-                    return whole
+                    return values
                 if isinstance(event, h11.Response) and event.status_code != 200:
-                    raise WatchFailed(f"discovery answered {event.status_code}")
+                    raise WatchFailed(f"discovery responded with status {event.status_code}")
                 if isinstance(event, h11.Data):
-                    whole += self.values.feed(bytes(event.data))
+                    values += self.splitter.feed(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage):
                     if self.part:
-                        raise NoList("the answer ended within a value")
+                        raise NoList("the response ended within a JSON value")
                     self.ended = True
-                    return whole
+                    return values
                 elif isinstance(event, h11.ConnectionClosed):
                     raise WatchFailed("discovery closed the connection")
         except h11.RemoteProtocolError as error:
             raise WatchFailed(str(error)) from error
-        except NoValue as error:
+        except JsonStreamError as error:
             raise NoList(str(error)) from error
--- a/maddercart/messages/__init__.py
+++ b/maddercart/messages/__init__.py
@@ -1,1 +1,1 @@
-"""What is said to the sidecar and by it, each message one typed value, read once and written once."""
+"""Typed messages that the sidecar reads and writes, with their parsers and encoders."""
--- a/maddercart/messages/answer.py
+++ b/maddercart/messages/answer.py
@@ -1,50 +1,66 @@
-"""Answers: what an upstream sends back, and the final one that the application gets."""
+"""Responses of upstreams and the final responses that are sent to the application."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
 from maddercart.interface import SECOND, Report
 from maddercart.messages.headers import Headers, passed_on
-from maddercart.messages.report import read_report
+from maddercart.messages.report import parse_load_report
 
-LOAD, NEVER_RAN = b"endpoint-load-metrics", b"x-never-ran"
-OURS = frozenset({LOAD, NEVER_RAN})
+LOAD_METRICS_HEADER, NEVER_RAN_HEADER = b"endpoint-load-metrics", b"x-never-ran"
+CONSUMED_HEADERS = frozenset({LOAD_METRICS_HEADER, NEVER_RAN_HEADER})  # read by the sidecar, not forwarded
 
 
 @dataclass(slots=True)
 class Answer:
-    """A whole answer of an upstream."""
+    """A complete response of an upstream.
+
+    `headers` are those that are forwarded to the application. `never_ran` is true if the upstream states that
+    it did not execute the query. `report` is None if the response carries no usable load report.
+    """
 
     status: int
-    headers: Headers  # those that go on to the application
+    headers: Headers
     body: bytes
-    never_ran: bool  # it says so itself
+    never_ran: bool
     report: Report | None
 
 
 def read_answer(status: int, headers: Sequence[tuple[bytes, bytes]], body: bytes) -> Answer:
-    named = {name.lower(): value for name, value in headers}
-    load = named.get(LOAD)
-    report = None if load is None else read_report(load.decode("latin-1"))
-    return Answer(status, passed_on(headers, OURS), body, named.get(NEVER_RAN) == b"1", report)
+    values_by_name = {name.lower(): value for name, value in headers}
+    load_metrics = values_by_name.get(LOAD_METRICS_HEADER)
+    report = None if load_metrics is None else parse_load_report(load_metrics.decode("latin-1"))
+    return Answer(
+        status,
+        passed_on(headers, CONSUMED_HEADERS),
+        body,
+        values_by_name.get(NEVER_RAN_HEADER) == b"1",
+        report,
+    )
 
 
 @dataclass(slots=True)
 class Reply:
-    """What the application is told. 429 and 503 mean bounced, and nothing but a bounce may say them."""
+    """The final response to the application.
+
+    Statuses 429 and 503 mean that the query bounced and must not be used for any other outcome. `come_back`
+    is the delay in nanoseconds for Retry-After; 0 omits the header. `whole` rounds it up to whole seconds, as
+    standard HTTP/1.1 requires; otherwise it has three decimals. `passed` holds the headers that are forwarded
+    from the upstream's response.
+    """
 
     status: int
     body: bytes
-    come_back: int = 0  # nanoseconds; 0: unsaid
-    passed: Headers = field(default_factory=list)  # an upstream's
-    whole: bool = False  # the come-back time in whole seconds, as plain HTTP/1.1 has it
+    come_back: int = 0
+    passed: Headers = field(default_factory=list)
+    whole: bool = False
 
     def headers(self) -> Headers:
-        said = [*self.passed, (b"Content-Length", b"%d" % len(self.body))]
+        headers = [*self.passed, (b"Content-Length", b"%d" % len(self.body))]
         if self.come_back:
-            after = -(-self.come_back // SECOND) if self.whole else self.come_back / SECOND
-            said.append((b"Retry-After", b"%d" % after if self.whole else b"%.3f" % after))
-        return said
+            seconds = -(-self.come_back // SECOND) if self.whole else self.come_back / SECOND
+            headers.append((b"Retry-After", b"%d" % seconds if self.whole else b"%.3f" % seconds))
+        return headers
 
 
 def done(answer: Answer) -> Reply:
@@ -52,12 +68,15 @@
 
 
 def bounced(come_back: int, whole: bool = False) -> Reply:
+    """A rejection with the promise that the query had no effect; the parameters are those of `Reply`."""
     return Reply(503, b"bounced: a retry is harmless\n", come_back, whole=whole)
 
 
 def aborted() -> Reply:
+    """A failure with unknown effect."""
     return Reply(502, b"aborted: it may have run\n")
 
 
 def unfit(status: int, reason: str) -> Reply:
+    """A client error; `reason` becomes the body."""
     return Reply(status, reason.encode() + b"\n")
--- a/maddercart/messages/config.py
+++ b/maddercart/messages/config.py
@@ -1,4 +1,7 @@
-"""The configuration of a sidecar and the settings of its deployment."""
+"""The configuration of a sidecar and the settings of its deployment.
+
+Field names are JSON keys. Times and rates are in seconds and per second, as they are written in the file.
+"""
 
 import msgspec
 from msgspec import Struct
@@ -14,8 +17,8 @@
     fields: list[str] = []
 
 
-class Permitted(Struct, frozen=True):
-    """The `limits` of the settings."""
+class Limits(Struct, frozen=True):
+    """The `limits` section of the settings."""
 
     most_dispatches: int
     cancel: bool = False
@@ -25,10 +28,16 @@
     connect_timeout: float = 0.25
     idle_close: float = 30.0
     max_streams: int = 1
-    may_tell: bool = False  # sidecars may send one another datagrams
+    may_tell: bool = False  # whether sidecars may send datagrams to each other
 
 
 class OfferingTerms(Struct, frozen=True):
+    """The terms of one request class.
+
+    `confined_to` and `kinds_open` list the only zones and machine kinds that its queries may be sent to; None
+    allows all, an empty list none.
+    """
+
     semantics: str
     agreed_time: float
     name: str = ""
@@ -37,31 +46,45 @@
     earnings: float = 1.0
     tardy_earnings: float = 0.0
     hard_stop: float = 0.0
-    confined_to: list[str | int] | None = None  # the only zones that it may be sent to; empty: none
-    kinds_open: list[str | int] | None = None  # likewise of machines
+    confined_to: list[str | int] | None = None
+    kinds_open: list[str | int] | None = None
 
 
 class Party(Struct, frozen=True):
-    """A tenant; what it sends beyond its quota, over all sidecars, earns little. 0: no quota is told."""
+    """A tenant.
+
+    Queries beyond its quota, which counts over all sidecars, have a low value. A quota of 0 means that none
+    is given.
+    """
 
     quota_per_s: float = 0.0
 
 
 class Rules(Struct, frozen=True):
+    """The `rules` section of the settings.
+
+    `ask_within` is the maximum age of a polled upstream list (0: not given). `stop_sending_within` is the
+    grace period of a drain. `removal_not_binding` allows queries to an upstream that was removed from the
+    list without having been drained.
+    """
+
     cold_from: float
     ramp_time: float
     fall_multiple: float
     overload_for: float
-    ask_within: float = 0.0  # how old a list asked for may be; 0: not told
-    stop_sending_within: float = 0.0  # the grace of a drain
-    removal_not_binding: bool = False  # who is gone without having drained may still be sent to
+    ask_within: float = 0.0
+    stop_sending_within: float = 0.0
+    removal_not_binding: bool = False
 
 
 class Settings(Struct, frozen=True):
-    """What both hosts are told of a deployment; what the module has no use for is not read."""
+    """The settings of a deployment, which the sidecar and the simulator's adapter share.
+
+    Keys that the load balancer does not use are ignored.
+    """
 
     offerings: list[OfferingTerms]
-    limits: Permitted
+    limits: Limits
     rules: Rules
     charges: Charges = Charges()
     feedback: Feedback = Feedback()
@@ -93,9 +116,9 @@
     peers_all: str = ""
 
 
-_config = msgspec.json.Decoder(Config)
+_config_decoder = msgspec.json.Decoder(Config)
 
 
 def read_config(text: bytes) -> Config:
-    """Raises `msgspec.DecodeError`, a `ValueError`, if it isn't one."""
-    return _config.decode(text)
+    """Raises `msgspec.DecodeError`, a `ValueError`, if the text is not a valid configuration."""
+    return _config_decoder.decode(text)
--- a/maddercart/messages/query.py
+++ b/maddercart/messages/query.py
@@ -1,4 +1,4 @@
-"""A query, read from the application's request and written to an upstream."""
+"""Queries, parsed from the application's requests and forwarded to an upstream."""
 
 import re
 from collections.abc import Mapping, Sequence
@@ -8,14 +8,15 @@
 from maddercart.messages.headers import Headers, passed_on
 
 METHODS = (b"GET", b"POST")
-UNITS = {"m": 1_000_000, "u": 1_000}  # of X-Expires-In, in nanoseconds
-EXPIRES = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
-OURS = frozenset({b"x-expires-in"})  # written anew for each dispatch
-ONCE = frozenset({b"x-trace-id", b"x-qos", b"x-expires-in", b"idempotency-key"})  # which of two would count?
+EXPIRES_IN_UNITS_NS = {"m": 1_000_000, "u": 1_000}
+EXPIRES_IN_PATTERN = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
+REWRITTEN_HEADERS = frozenset({b"x-expires-in"})  # written again for each dispatch
+# These must not occur twice, since it would be ambiguous which value applies.
+UNIQUE_HEADERS = frozenset({b"x-trace-id", b"x-qos", b"x-expires-in", b"idempotency-key"})
 
 
 class UnfitQuery(ValueError):
-    """A request that is no query of ours; `status` tells the client which fault is its own."""
+    """A request that is not a valid query; `status` is the 4xx status of the response."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -24,26 +25,39 @@
 
 @dataclass(slots=True)
 class Query:
+    """A query that waits for its final response.
+
+    `headers` are those that are forwarded unchanged. `offering` is an index into the settings' offerings.
+    `remaining` is the time in nanoseconds for which the client waits. `trace` is the id of the query, the
+    same on all hops. `most` is the maximum number of dispatches; 0 allows as many as the settings do.
+    """
+
     method: bytes
     target: bytes
-    headers: Headers  # those that go on unchanged
+    headers: Headers
     body: bytes
-    offering: int  # its place in the settings
-    remaining: int  # nanoseconds that its client will wait
-    trace: bytes  # its id, the same all the way
-    most: int = 0  # dispatches; 0: as many as the settings allow
+    offering: int
+    remaining: int
+    trace: bytes
+    most: int = 0
 
     def over(self, dispatches: int, how: str) -> None:
-        """It has its final answer, or its client has gone. Nothing to be done here; other fronts count it."""
+        """Called once the query has its final response or its client has disconnected.
+
+        `dispatches` is the number of dispatches and `how` the outcome. Does nothing here; the gateway
+        overrides it to count queries.
+        """
 
     def headers_for(self, wait: int) -> Headers:
-        """The headers of a dispatch that is waited for so many nanoseconds."""
-        lengths = [(b"Content-Length", b"%d" % len(self.body))] if self.body or self.method != b"GET" else []
-        return [*self.headers, (b"X-Expires-In", b"%du" % max(1, wait // 1_000)), *lengths]
+        """Returns the headers of a dispatch whose response is awaited for `wait` nanoseconds."""
+        length_headers = (
+            [(b"Content-Length", b"%d" % len(self.body))] if self.body or self.method != b"GET" else []
+        )
+        return [*self.headers, (b"X-Expires-In", b"%du" % max(1, wait // 1_000)), *length_headers]
 
 
-def twice(headers: Sequence[tuple[bytes, bytes]]) -> bool:
-    names = [name for name, _ in headers if name.lower() in ONCE]
+def has_duplicate_header(headers: Sequence[tuple[bytes, bytes]]) -> bool:
+    names = [name for name, _ in headers if name.lower() in UNIQUE_HEADERS]
     return len({name.lower() for name in names}) < len(names)
 
 
@@ -51,25 +65,25 @@
     method: bytes, target: bytes, headers: Sequence[tuple[bytes, bytes]], body: bytes,
     offerings: Mapping[str, int],
 ) -> Query:  # fmt: skip
-    """Raises `UnfitQuery`; `offerings` gives each name its place in the settings."""
+    """Raises `UnfitQuery`; `offerings` maps each name to its index in the settings."""
     if method not in METHODS:
         raise UnfitQuery(405, "neither GET nor POST")
-    named = {name.lower(): value for name, value in headers}
+    values_by_name = {name.lower(): value for name, value in headers}
     path = target.decode("ascii", "replace").partition("?")[0]
     offering = offerings.get(unquote(path.removeprefix("/").partition("/")[0]))
-    by_header = named.get(b"x-qos")
+    qos = values_by_name.get(b"x-qos")
     if offering is None:
         raise UnfitQuery(404, "the path names no offering")
-    if by_header is not None and offerings.get(by_header.decode("ascii", "replace")) != offering:
+    if qos is not None and offerings.get(qos.decode("ascii", "replace")) != offering:
         raise UnfitQuery(400, "X-Qos names no offering, or another one than the path")
-    if len(named) < len(headers) and twice(headers):
+    if len(values_by_name) < len(headers) and has_duplicate_header(headers):
         raise UnfitQuery(400, "a header of ours is there twice")
-    if not (trace := named.get(b"x-trace-id", b"")):
+    if not (trace := values_by_name.get(b"x-trace-id", b"")):
         raise UnfitQuery(400, "X-Trace-Id is missing")
-    expires = EXPIRES.fullmatch(named.get(b"x-expires-in", b"").strip())
-    if expires is None:
+    expires_in = EXPIRES_IN_PATTERN.fullmatch(values_by_name.get(b"x-expires-in", b"").strip())
+    if expires_in is None:
         raise UnfitQuery(400, "X-Expires-In is missing, or no number with its unit (m or u)")
-    remaining = int(float(expires[1]) * UNITS[expires[2].decode()])
+    remaining = int(float(expires_in[1]) * EXPIRES_IN_UNITS_NS[expires_in[2].decode()])
     if remaining <= 0:
         raise UnfitQuery(408, "its time is already up")
-    return Query(method, target, passed_on(headers, OURS), body, offering, remaining, trace)
+    return Query(method, target, passed_on(headers, REWRITTEN_HEADERS), body, offering, remaining, trace)
--- a/maddercart/messages/upstreams.py
+++ b/maddercart/messages/upstreams.py
@@ -1,4 +1,4 @@
-"""The list of upstreams, as discovery tells it: whole, or what has changed on it."""
+"""The list of upstreams as discovery sends it: a full list, or the changes to it."""
 
 from typing import Any
 
@@ -7,7 +7,11 @@
 
 
 class Host(Struct, frozen=True):
-    """One upstream; `born_ms` is 0 where it started long ago."""
+    """One upstream.
+
+    `born_ms` is its start as a Unix timestamp in milliseconds, or 0 if it started long ago. `kind` is written
+    `class` in JSON.
+    """
 
     host: str
     dial: str
@@ -20,21 +24,25 @@
 
 
 class Listing(Struct, frozen=True):
-    """A version of the list. Its lines stay unread here: one that can't be read must not cost the others."""
+    """A version of the list; `whole` is false if it holds only the changes.
+
+    The entries of `hosts` are decoded one by one with `read_host`, so that an invalid entry does not
+    invalidate the others.
+    """
 
     seq: int
     hosts: list[Any]
     whole: bool = False
 
 
-_listing = msgspec.json.Decoder(Listing)
+_listing_decoder = msgspec.json.Decoder(Listing)
 
 
-def read_listing(line: bytes) -> Listing:
-    """Raises `msgspec.MsgspecError` if it isn't one."""
-    return _listing.decode(line)
+def read_listing(data: bytes) -> Listing:
+    """Raises `msgspec.MsgspecError` if the data is not a valid listing."""
+    return _listing_decoder.decode(data)
 
 
-def read_host(line: Any) -> Host:
-    """Raises `msgspec.MsgspecError` if it isn't one."""
-    return msgspec.convert(line, Host)
+def read_host(entry: Any) -> Host:
+    """Raises `msgspec.MsgspecError` if the entry is not a valid host."""
+    return msgspec.convert(entry, Host)
--- a/maddercart/messages/words.py
+++ b/maddercart/messages/words.py
@@ -1,10 +1,14 @@
-"""What sidecars tell one another of the list, in datagrams of at most 256 bytes: an ask, or a part of a tell.
+"""Datagrams by which sidecars share the state of upstreams.
 
-    "mc1", kind, list version, token; per upstream its number's first half, condition and the list's stamp of
-    its start (milliseconds, 0 long ago); CRC-32 of all before
+A datagram has at most 256 bytes and holds a request (ask) or a part of a response (tell).
 
-The token is the asker's, and a tell carries that of the ask it answers: how old it is, the asker knows by its
-own clock. Earlier releases had the sender's wall time there; they answer no ask of this one.
+Layout, big-endian: magic "mc1", kind, list version, token; per upstream the upper half of its id, its
+condition and the discovery list's timestamp of its start (Unix milliseconds, 0: long ago); CRC-32 of all
+preceding bytes.
+
+The requester chooses the token and the response repeats it, so that the requester can tell the age of the
+response by its own clock. Earlier releases sent their wall clock time in its place; their messages answer no
+request of this release.
 """
 
 import struct
@@ -12,15 +16,19 @@
 from typing import NamedTuple
 from zlib import crc32
 
-MOST = 256  # bytes; a longer one is against the protocol
-FORM = b"mc1"
+MOST = 256  # maximum length of a datagram in bytes, set by the protocol
+MAGIC = b"mc1"
 ASK, TELL = 1, 2
-HEAD, LINE, CHECK = struct.Struct("!3sBQQ"), struct.Struct("!IBQ"), struct.Struct("!I")
-LINES = (MOST - HEAD.size - CHECK.size) // LINE.size
+HEADER, RECORD, CHECKSUM = struct.Struct("!3sBQQ"), struct.Struct("!IBQ"), struct.Struct("!I")
+LINES = (MOST - HEADER.size - CHECKSUM.size) // RECORD.size  # maximum number of records in a datagram
 
 
 class Word(NamedTuple):
-    """Of one upstream: the first half of its number, its condition, the list's stamp of its start."""
+    """The state of one upstream.
+
+    `key` is the upper half of the upstream's id (see `key_of`), `condition` one of GONE, READY and DRAINING,
+    and `stamp_ms` the timestamp of its start in the discovery list.
+    """
 
     key: int
     condition: int
@@ -28,34 +36,41 @@
 
 
 class Message(NamedTuple):
+    """A decoded datagram; `kind` is ASK or TELL, `version` that of the sender's list."""
+
     kind: int
-    version: int  # of the sender's list
+    version: int
     token: int
     words: list[Word]
 
 
 def key_of(number: int) -> int:
+    """Returns the upper half of the 64-bit id of an upstream."""
     return number >> 32
 
 
 def write(kind: int, version: int, token: int, words: Iterable[Word] = ()) -> bytes:
-    data = HEAD.pack(FORM, kind, version, token) + b"".join(LINE.pack(*word) for word in words)
-    return data + CHECK.pack(crc32(data))
+    """Encodes one datagram, of at most `LINES` records."""
+    data = HEADER.pack(MAGIC, kind, version, token) + b"".join(RECORD.pack(*word) for word in words)
+    return data + CHECKSUM.pack(crc32(data))
 
 
 def tells(version: int, token: int, words: list[Word]) -> Iterator[bytes]:
+    """Yields the datagrams of a response, as many as its records need."""
     for first in range(0, len(words), LINES):
         yield write(TELL, version, token, words[first : first + LINES])
 
 
 def read(data: bytes) -> Message:
-    """Raises `ValueError` for what is cut, forged in part, or not of this form."""
-    body, check = data[: -CHECK.size], data[-CHECK.size :]
-    if len(data) > MOST or len(body) < HEAD.size or (len(body) - HEAD.size) % LINE.size:
-        raise ValueError("no length of ours")
-    if CHECK.unpack(check)[0] != crc32(body):
-        raise ValueError("the check sum differs")
-    form, kind, version, token = HEAD.unpack_from(body)
-    if form != FORM or kind not in (ASK, TELL):
-        raise ValueError("not of this form")
-    return Message(kind, version, token, [Word(*line) for line in LINE.iter_unpack(body[HEAD.size :])])
+    """Raises `ValueError` if the datagram is truncated, corrupted or in another format."""
+    body, checksum = data[: -CHECKSUM.size], data[-CHECKSUM.size :]
+    if len(data) > MOST or len(body) < HEADER.size or (len(body) - HEADER.size) % RECORD.size:
+        raise ValueError("invalid length")
+    if CHECKSUM.unpack(checksum)[0] != crc32(body):
+        raise ValueError("checksum mismatch")
+    magic, kind, version, token = HEADER.unpack_from(body)
+    if magic != MAGIC or kind not in (ASK, TELL):
+        raise ValueError("unknown format or message kind")
+    return Message(
+        kind, version, token, [Word(*record) for record in RECORD.iter_unpack(body[HEADER.size :])]
+    )
