--- a/maddercart/net/__init__.py
+++ b/maddercart/net/__init__.py
@@ -1,1 +1,1 @@
-"""The driver: one epoll set, coroutines that wait on it, timers and non-blocking sockets."""
+"""The event loop: epoll, generator-based coroutines, timers and non-blocking sockets."""
--- a/maddercart/net/loop.py
+++ b/maddercart/net/loop.py
@@ -1,7 +1,9 @@
-"""Coroutines that are plain generators. One yields a `Wait` and is resumed with why it goes on.
+"""An event loop for coroutines that are plain generators.
 
-A turn is one look at the epoll set: what it shows goes to the coroutines that waited for it, by their rank,
-then the timers that are due.
+A coroutine yields a `Wait` and is resumed with the reason for which the wait ended: epoll events, TIME_UP
+or WOKEN. A turn of the loop polls epoll once, resumes the coroutines that waited for the reported events,
+ordered by rank, then those that were woken, and then runs the timers that are due. All times are in
+nanoseconds of the loop's clock.
 """
 
 import logging
@@ -17,86 +19,96 @@
 
 READ, WRITE, NOTHING = select.EPOLLIN, select.EPOLLOUT, 0
 
-# A timer this late is told: more than a turn with many queries takes, and more than an answer may be late.
-LATE = 50 * MILLISECOND
+# A timer that is later than this is logged: it is more than a turn with many queries takes, and more than a
+# response may be late.
+LATE_TIMER_NS = 50 * MILLISECOND
 
-# Why a coroutine goes on: what epoll showed, or one of these.
+# Reasons for resuming a coroutine other than epoll events, which are greater than zero.
 TIME_UP = 0
 WOKEN = -1
 
-# Who goes on first in a turn: what ends work before what begins more.
+# Ranks, which order the coroutines of a turn: those that finish work run before those that start more.
 FIRST, SOON, LAST = 0, 1, 2
 
 
 class Wait(NamedTuple):
-    fd: int = -1  # -1: on nothing but the time and `Loop.wake`
+    """What a coroutine waits for.
+
+    With `fd` -1 it waits only for the deadline `until` and for `Loop.wake`. `events` is an epoll mask.
+    `until` is an instant of the loop's clock; None means no deadline.
+    """
+
+    fd: int = -1
     events: int = NOTHING
-    until: int | None = None  # in the loop's clock
+    until: int | None = None
 
 
 Coroutine = Generator[Wait, int, None]
 
 
 class Task:
-    """A coroutine under way."""
+    """A coroutine that the loop runs; `over` is true once it has ended."""
 
-    __slots__ = ("alarm", "coroutine", "fd", "rank", "step", "until")
+    __slots__ = ("coroutine", "deadline", "fd", "next_timer", "rank", "resumptions")
 
     def __init__(self, coroutine: Coroutine, rank: int) -> None:
         self.coroutine: Coroutine | None = coroutine
         self.rank = rank
-        self.fd = -1  # on which it waits
-        self.until = NEVER  # its wait ends then
-        self.alarm = NEVER  # the soonest of its timers
-        self.step = 0  # counts its resumptions: what was meant for an earlier wait is not for this one
+        self.fd = -1  # the descriptor that it waits for, or -1
+        self.deadline = NEVER  # of the current wait
+        self.next_timer = NEVER  # the earliest of its timers
+        self.resumptions = 0  # a count, which identifies events that were meant for an earlier wait
 
     @property
     def over(self) -> bool:
         return self.coroutine is None
 
 
-NEVER = 1 << 62  # later than any clock
+NEVER = 1 << 62  # later than any time of a clock
 
 
 class Loop:
-    SPARE = 1024  # timers of tasks that are over and are not worth a clearing
+    SPARE = 1024  # number of timers up to which those of ended tasks are not removed
 
     def __init__(self, clock: Callable[[], int], machine: Machine = MACHINE) -> None:
         self.clock, self.machine = clock, machine
         self.epoll = machine.epoll()
         self.waiting: dict[int, Task] = {}  # by descriptor
-        self.resting: dict[int, Callable[[], None]] = {}  # by descriptor: what is called once it is readable
-        self.known: dict[int, int] = {}  # descriptors in the epoll set, and what is asked of it
+        self.readable_callbacks: dict[int, Callable[[], None]] = {}  # by descriptor
+        self.registered: dict[int, int] = {}  # descriptors in the epoll set and their event masks
+        # A heap of time, sequence number and what is resumed or called.
         self.timers: list[tuple[int, int, Task | Callable[[], None]]] = []
-        self.clear_at = self.SPARE
-        self.count = 0  # of timers: those of one time go in the order they were set
-        self.ready: list[tuple[Task, int]] = []
+        self.clear_threshold = self.SPARE  # number of timers
+        self.timer_count = 0  # sequence number: timers of the same time run in the order they were set
+        self.woken: list[tuple[Task, int]] = []  # task, its resumption count when it was woken
         self.stopped = False
-        self.looked = self.since = clock()  # the last look; what it showed came no earlier than this
+        # The time of the last poll, and the earliest time at which its events can have occurred.
+        self.looked = self.events_since = clock()
 
     # -- coroutines
 
     def spawn(self, coroutine: Coroutine, rank: int = LAST) -> Task:
-        """Starts it at once and runs it up to its first wait."""
+        """Starts a coroutine immediately and runs it up to its first wait."""
         task = Task(coroutine, rank)
         self.resume(task, WOKEN)
         return task
 
     def wake(self, task: Task) -> None:
-        """Resumes a waiting coroutine before the next look at the epoll set."""
+        """Resumes a waiting coroutine in the next turn, which then polls epoll without blocking."""
         if not task.over:
-            self.ready.append((task, task.step))
+            self.woken.append((task, task.resumptions))
 
     def end(self, task: Task) -> None:
-        """Ends it where it waits; its `finally` clauses run."""
+        """Ends a coroutine at its current wait; its `finally` clauses run."""
         if (coroutine := task.coroutine) is not None:
             self.unwait(task)
             task.coroutine = None
             coroutine.close()
 
-    def resume(self, task: Task, why: int) -> None:
+    def resume(self, task: Task, reason: int) -> None:
+        """Runs a coroutine up to its next wait; `reason` is an epoll mask, TIME_UP or WOKEN."""
         self.unwait(task)
-        task.step += 1
+        task.resumptions += 1
         assert task.coroutine is not None
         coroutine, fault = task.coroutine, None
         while True:
@@ -104,35 +116,37 @@
                 if fault is not None:
                     wait = coroutine.throw(fault)
                 else:
-                    wait = coroutine.send(None if task.step == 1 else why)  # type: ignore[arg-type]
+                    wait = coroutine.send(None if task.resumptions == 1 else reason)  # type: ignore[arg-type]
             except StopIteration:
                 task.coroutine = None
                 return
             except Exception:
-                # One connection's fault must not take the others down with it.
+                # A failure on one connection must not affect the others.
                 log.exception("coroutine failed")
                 task.coroutine = None
                 return
             try:
                 return self.suspend(task, wait)
-            except OSError as error:  # epoll has no room for its descriptor: it ends as if that had broken
+            except OSError as error:
+                # The descriptor can't be added to the epoll set (ENOSPC): raised as if its connection broke.
                 fault = error
 
     def suspend(self, task: Task, wait: Wait) -> None:
-        fd, events, until = wait
+        fd, events, deadline = wait
         if fd >= 0:
-            if self.known.get(fd) != events:
+            if self.registered.get(fd) != events:
                 self.watch(fd, events)
             self.waiting[fd] = task
             task.fd = fd
-        if until is not None:
-            task.until = until
-            if until < task.alarm:  # an earlier timer will do: it sees then that there is more time
-                task.alarm = until
-                self.set(until, task)
+        if deadline is not None:
+            task.deadline = deadline
+            # An earlier timer suffices: if it expires before the deadline, it is set again.
+            if deadline < task.next_timer:
+                task.next_timer = deadline
+                self.add_timer(deadline, task)
 
     def unwait(self, task: Task) -> None:
-        task.until = NEVER
+        task.deadline = NEVER
         if task.fd >= 0:
             if self.waiting.get(task.fd) is task:
                 del self.waiting[task.fd]
@@ -141,109 +155,122 @@
     # -- descriptors
 
     def watch(self, fd: int, events: int) -> None:
-        """Until something else is asked: most wait for the same again, and each change is a system call."""
-        if fd in self.known:
+        """Sets the epoll mask of a descriptor.
+
+        It remains until another one is requested, since most coroutines wait for the same events again and
+        each change costs a system call.
+        """
+        if fd in self.registered:
             self.epoll.modify(fd, events)
         else:
             self.epoll.register(fd, events)
-        self.known[fd] = events
+        self.registered[fd] = events
 
     def rest(self, fd: int, call: Callable[[], None]) -> None:
-        """Something is called once it is readable, which costs no coroutine."""
-        if self.known.get(fd) != READ:
+        """Calls `call` once the descriptor becomes readable, which needs no coroutine."""
+        if self.registered.get(fd) != READ:
             self.watch(fd, READ)
-        self.resting[fd] = call
+        self.readable_callbacks[fd] = call
 
     def rouse(self, fd: int) -> None:
-        self.resting.pop(fd, None)
+        """Removes the callback that was set with `rest`."""
+        self.readable_callbacks.pop(fd, None)
 
     def forget(self, fd: int) -> None:
-        """Before a descriptor is closed, and where nobody waits for what it shows, or it would spin."""
-        if self.known.pop(fd, None) is not None:
+        """Removes a descriptor from the epoll set.
+
+        Required before it is closed, and when it reports events that nothing waits for, which would make the
+        loop spin.
+        """
+        if self.registered.pop(fd, None) is not None:
             self.epoll.unregister(fd)
-        self.resting.pop(fd, None)
+        self.readable_callbacks.pop(fd, None)
         if (task := self.waiting.pop(fd, None)) is not None:
             task.fd = -1
 
     # -- timers
 
     def at(self, when: int, call: Callable[[], None]) -> None:
-        self.set(when, call)
+        """Calls `call` at the time `when`."""
+        self.add_timer(when, call)
 
-    def set(self, when: int, what: Task | Callable[[], None]) -> None:
-        self.count += 1
-        heappush(self.timers, (when, self.count, what))
-        if len(self.timers) > self.clear_at:
+    def add_timer(self, when: int, target: Task | Callable[[], None]) -> None:
+        self.timer_count += 1
+        heappush(self.timers, (when, self.timer_count, target))
+        if len(self.timers) > self.clear_threshold:
             self.clear()
 
     def clear(self) -> None:
-        """Guards against a heap that grows with traffic: what had ended left its timers there, with what hung
-        on them, until their time had come."""
+        """Removes the timers of ended tasks.
+
+        Without this they would stay until they expire and keep the objects of their tasks alive, so that the
+        heap would grow with the traffic.
+        """
         self.timers = [timer for timer in self.timers if not (isinstance(timer[2], Task) and timer[2].over)]
         heapify(self.timers)
-        self.clear_at = max(self.SPARE, 2 * len(self.timers))
-
-    def ring(self, when: int, what: Task | Callable[[], None]) -> None:
-        if not isinstance(what, Task):
-            what()
-        elif not what.over and what.alarm == when:
-            what.alarm = NEVER
-            if what.until > self.clock():
-                if what.until < NEVER:
-                    what.alarm = what.until
-                    self.set(what.until, what)
+        self.clear_threshold = max(self.SPARE, 2 * len(self.timers))
+
+    def expire(self, when: int, target: Task | Callable[[], None]) -> None:
+        if not isinstance(target, Task):
+            target()
+        elif not target.over and target.next_timer == when:
+            target.next_timer = NEVER
+            if target.deadline > self.clock():
+                if target.deadline < NEVER:
+                    target.next_timer = target.deadline
+                    self.add_timer(target.deadline, target)
             else:
-                self.resume(what, TIME_UP)
+                self.resume(target, TIME_UP)
 
     # -- turns
 
     def behind(self) -> int:
-        """How long what was shown in this turn may have been waiting for it."""
-        return self.clock() - self.since
+        """The maximum time in nanoseconds for which the events of this turn may have been pending."""
+        return self.clock() - self.events_since
 
     def run(self) -> None:
         while not self.stopped:
             self.turn()
 
-    def look(self) -> list[tuple[int, int]]:
-        wait = -1.0
+    def poll(self) -> list[tuple[int, int]]:
+        timeout_seconds = -1.0
         before = self.clock()
-        if self.ready:
-            wait = 0.0
+        if self.woken:
+            timeout_seconds = 0.0
         elif self.timers:
-            wait = max(0, self.timers[0][0] - before) / SECOND
-        shown = self.epoll.poll(wait)
+            timeout_seconds = max(0, self.timers[0][0] - before) / SECOND
+        events = self.epoll.poll(timeout_seconds)
         now = self.clock()
-        # A look that was waited for shows what has just come; else it came at any time since the one before.
-        self.since = now if now - before > before - self.looked else self.looked
+        # If the poll blocked, its events have just occurred; otherwise at any time since the previous poll.
+        self.events_since = now if now - before > before - self.looked else self.looked
         self.looked = now
-        return shown
+        return events
 
     def turn(self) -> None:
-        due: list[tuple[Task, int, int]] = []
-        for fd, events in self.look():
+        due: list[tuple[Task, int, int]] = []  # task, its resumption count, reason
+        for fd, events in self.poll():
             if (task := self.waiting.get(fd)) is not None:
-                due.append((task, task.step, events))
-            elif (call := self.resting.pop(fd, None)) is not None:
+                due.append((task, task.resumptions, events))
+            elif (call := self.readable_callbacks.pop(fd, None)) is not None:
                 call()
             else:
                 self.forget(fd)
         due.sort(key=rank)
-        due += [(task, step, WOKEN) for task, step in self.ready]
-        self.ready.clear()
-        for task, step, why in due:
-            if task.step == step and task.coroutine is not None:
-                self.resume(task, why)
+        due += [(task, resumptions, WOKEN) for task, resumptions in self.woken]
+        self.woken.clear()
+        for task, resumptions, reason in due:
+            if task.resumptions == resumptions and task.coroutine is not None:
+                self.resume(task, reason)
         now = self.clock()
-        if self.timers and now - self.timers[0][0] > LATE:
+        if self.timers and now - self.timers[0][0] > LATE_TIMER_NS:
             log.warning("stood still", extra={"ms": (now - self.timers[0][0]) // MILLISECOND})
         while self.timers and self.timers[0][0] <= now:
-            when, _, what = heappop(self.timers)
+            when, _, target = heappop(self.timers)
             try:
-                self.ring(when, what)
+                self.expire(when, target)
             except Exception:
-                log.exception("timer failed")  # as with a coroutine: the rest goes on
+                log.exception("timer failed")  # must not affect the others
 
 
-def rank(one: tuple[Task, int, int]) -> int:
-    return one[0].rank
+def rank(event: tuple[Task, int, int]) -> int:
+    return event[0].rank
--- a/maddercart/net/machine.py
+++ b/maddercart/net/machine.py
@@ -1,4 +1,4 @@
-"""Where descriptors come from. The rig has a stand-in for it, with a network and a clock of its own."""
+"""Creation of descriptors. The rig replaces it with a simulated network and clock."""
 
 import select
 import socket
--- a/maddercart/net/sockets.py
+++ b/maddercart/net/sockets.py
@@ -1,4 +1,7 @@
-"""Non-blocking TCP sockets, and the few coroutines that read and write them."""
+"""Functions and coroutines for non-blocking TCP sockets.
+
+Deadlines are instants of the loop's clock in nanoseconds.
+"""
 
 import errno
 import os
@@ -8,43 +11,44 @@
 from maddercart.net.loop import READ, TIME_UP, WRITE, Loop, Wait
 from maddercart.net.machine import MACHINE, Machine
 
-# What accept reports of one connection that has gone meanwhile (accept(2)); the next one may be well.
+# Errors of accept(2) that concern only the connection at the head of the queue; the next one may be fine.
 ACCEPTED_GONE = frozenset({
     errno.ECONNABORTED, errno.ECONNRESET, errno.EPROTO, errno.ENOPROTOOPT, errno.EOPNOTSUPP, errno.ETIMEDOUT,
     errno.ENETDOWN, errno.ENETUNREACH, errno.EHOSTDOWN, errno.EHOSTUNREACH, errno.ENONET, errno.EPERM,
     errno.EINTR,
 })  # fmt: skip
-ACCEPT_TRIES = 64  # at connections that have gone, before the loop goes on with what else there is
-# A connection that comes up in its own time. A call that a signal interrupts goes on as well (connect(2)).
-CONNECTING = frozenset({errno.EINPROGRESS, errno.EINTR, errno.EALREADY})
-# Nothing could be read for lack of memory of our own: what has come is still there.
-READ_LATER = frozenset({errno.ENOMEM, errno.ENOBUFS, errno.EINTR})
-# Our own lack of sockets, ports or buffers, which tells nothing of the other side.
+ACCEPT_TRIES = 64  # limits the failed connections that are skipped before the loop turns to other work
+# The connection attempt continues in the background, also after an interrupt by a signal (connect(2)).
+CONNECT_PENDING_ERRNOS = frozenset({errno.EINPROGRESS, errno.EINTR, errno.EALREADY})
+# The read failed for lack of local memory or was interrupted; the received data is still available.
+READ_RETRYABLE_ERRNOS = frozenset({errno.ENOMEM, errno.ENOBUFS, errno.EINTR})
+# Local lack of descriptors, ports or buffers, which says nothing about the remote host.
 OUR_LACK = frozenset({
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EADDRNOTAVAIL,
 })  # fmt: skip
 
-CHUNK = 65536  # read at once: what the largest body and its headers need, in two reads at most
-BACKLOG = 512  # connections that the machine takes before we do: some hundreds may come at once
+READ_SIZE_BYTES = 65536  # the largest body and its headers take at most two reads
+BACKLOG = 512  # connections queued by the kernel; several hundred may arrive at once
 
 
 def address(text: str) -> tuple[str, int]:
+    """Splits `host:port`. Raises `ValueError`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
-        raise ValueError(f"no address: {text!r}")
+        raise ValueError(f"not an address of the form host:port: {text!r}")
     return host, int(port)
 
 
-def listen(at: tuple[str, int], backlog: int = BACKLOG, machine: Machine = MACHINE) -> socket.socket:
+def listen(local: tuple[str, int], backlog: int = BACKLOG, machine: Machine = MACHINE) -> socket.socket:
     sock = machine.tcp()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    sock.bind(at)
+    sock.bind(local)
     sock.listen(backlog)
     return sock
 
 
 def accept(listener: socket.socket) -> socket.socket | None:
-    """None if there is nothing to accept. Raises `OSError` if descriptors or memory have run out."""
+    """Returns None if no connection is pending. Raises `OSError` if descriptors or memory are exhausted."""
     for _ in range(ACCEPT_TRIES):
         try:
             sock, _ = listener.accept()
@@ -57,7 +61,7 @@
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError:  # it was reset meanwhile
+        except OSError:  # the connection was reset in the meantime
             sock.close()
             continue
         return sock
@@ -70,11 +74,13 @@
         sock.close()
 
 
-def connect(loop: Loop, sock: socket.socket, to: tuple[str, int], until: int) -> Generator[Wait, int, bool]:
-    """True once it is up, false if the time was up before. Raises `OSError` if it was refused."""
-    error = sock.connect_ex(to)
-    if error in CONNECTING:
-        if (yield Wait(sock.fileno(), WRITE, until)) == TIME_UP:
+def connect(
+    loop: Loop, sock: socket.socket, remote: tuple[str, int], deadline: int
+) -> Generator[Wait, int, bool]:
+    """Returns true once connected, false if the deadline passes. Raises `OSError` on failure."""
+    error = sock.connect_ex(remote)
+    if error in CONNECT_PENDING_ERRNOS:
+        if (yield Wait(sock.fileno(), WRITE, deadline)) == TIME_UP:
             return False
         error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if error:
@@ -83,45 +89,54 @@
     return True
 
 
-def write(sock: socket.socket, data: bytes, until: int | None) -> Generator[Wait, int, bool]:
-    """True once the last byte is written, false if the time was up before. Raises `OSError` if it broke."""
+def write(sock: socket.socket, data: bytes, deadline: int | None) -> Generator[Wait, int, bool]:
+    """Returns true once all data is written, false if the deadline passes (None: no deadline).
+
+    Raises `OSError` if the connection breaks.
+    """
     view = memoryview(data)
     while view:
         try:
             view = view[sock.send(view) :]
         except BlockingIOError:
-            if (yield Wait(sock.fileno(), WRITE, until)) == TIME_UP:
+            if (yield Wait(sock.fileno(), WRITE, deadline)) == TIME_UP:
                 return False
     return True
 
 
 def read_now(sock: socket.socket) -> bytes | None:
-    """What has come, empty at the end, None if nothing has. Raises `OSError` if it broke."""
+    """Returns the available data without waiting: empty at the end of the stream, None if there is none yet.
+
+    Raises `OSError` if the connection is broken.
+    """
     try:
-        return sock.recv(CHUNK)
+        return sock.recv(READ_SIZE_BYTES)
     except BlockingIOError:
         return None
     except OSError as error:
-        if error.errno in READ_LATER:
+        if error.errno in READ_RETRYABLE_ERRNOS:
             return None
         raise
 
 
 def ended(sock: socket.socket) -> bool:
-    """The other side has ended or reset the connection, and all that it sent before was read."""
+    """Whether the peer has closed or reset the connection and all data that it sent before was read."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return False
     except OSError as error:
-        return error.errno not in READ_LATER
+        return error.errno not in READ_RETRYABLE_ERRNOS
+
 
+def read(sock: socket.socket, deadline: int | None) -> Generator[Wait, int, bytes | None]:
+    """Waits for data and returns it: empty at the end of the stream, None if the deadline passes.
 
-def read(sock: socket.socket, until: int | None) -> Generator[Wait, int, bytes | None]:
-    """What comes, empty at the end, None if the time was up before. Raises `OSError` if it broke. A turn
-    of the loop for each: who sends without end holds up no one else."""
+    Without a deadline (None) it waits indefinitely. Raises `OSError` if the connection breaks. Each call
+    takes a turn of the loop, so that a peer that sends without pause doesn't starve the others.
+    """
     while True:
-        if (yield Wait(sock.fileno(), READ, until)) == TIME_UP:
+        if (yield Wait(sock.fileno(), READ, deadline)) == TIME_UP:
             return None
         if (data := read_now(sock)) is not None:
             return data
--- a/maddercart/net/startup.py
+++ b/maddercart/net/startup.py
@@ -1,4 +1,4 @@
-"""What a process needs from the start, had a little later where the machine lacks it for a moment."""
+"""Retries at startup for resources that are temporarily exhausted."""
 
 import errno
 import time
@@ -7,19 +7,22 @@
 
 from maddercart.net.sockets import OUR_LACK
 
-RETRIED = OUR_LACK | {errno.EADDRINUSE, errno.EINTR}
-WITHIN, PAUSE = 5.0, 0.02  # seconds
+RETRIED_ERRNOS = OUR_LACK | {errno.EADDRINUSE, errno.EINTR}
+RETRY_FOR_SECONDS, RETRY_INTERVAL_SECONDS = 5.0, 0.02
 
-Made = TypeVar("Made")
+Result = TypeVar("Result")
 
 
-def retry_lack(make: Callable[[], Made]) -> Made:
-    """What `make` returns. Blocks, so for the start alone. Raises an `OSError` that lasts for 5 s."""
-    until = time.monotonic() + WITHIN
+def retry_lack(make: Callable[[], Result]) -> Result:
+    """Calls `make` until it succeeds and returns its result.
+
+    Blocks, so use it only at startup. Raises the `OSError` if it persists for 5 s or is not a temporary one.
+    """
+    deadline = time.monotonic() + RETRY_FOR_SECONDS
     while True:
         try:
             return make()
         except OSError as error:
-            if error.errno not in RETRIED or time.monotonic() > until:
+            if error.errno not in RETRIED_ERRNOS or time.monotonic() > deadline:
                 raise
-        time.sleep(PAUSE)
+        time.sleep(RETRY_INTERVAL_SECONDS)
