--- a/maddercart/wirehost/__init__.py
+++ b/maddercart/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire."""
+"""Adapter that runs the load balancer in the simulator, over its binary protocol."""
--- a/maddercart/wirehost/__main__.py
+++ b/maddercart/wirehost/__main__.py
@@ -1,15 +1,15 @@
-"""Hosts many instances of the decision module on the simulator's wire (standard input and output)."""
+"""Runs many instances of the load balancer for the simulator, over standard input and output."""
 
 import sys
 from typing import BinaryIO
 
 from maddercart.translation import SettingsError
-from maddercart.wirehost.host import FrameError, Host
+from maddercart.wirehost.host import FrameError, WireHost
 
 
 def main(source: BinaryIO, sink: BinaryIO) -> int:
     try:
-        Host().serve(source, sink)
+        WireHost().serve(source, sink)
     except (FrameError, SettingsError) as error:
         print(f"maddercart.wirehost: {error}", file=sys.stderr)
         return 2
--- a/maddercart/wirehost/host.py
+++ b/maddercart/wirehost/host.py
@@ -1,4 +1,4 @@
-"""Turns wire events into calls on the instances' balancers and their decisions into wire actions."""
+"""Translates events of the simulator into calls on load balancers, and their decisions into actions."""
 
 import gc
 from typing import BinaryIO
@@ -6,155 +6,168 @@
 from maddercart.interface import DONE, SECOND, Decision, Entry, Report
 from maddercart.policy.balancer import Balancer
 from maddercart.translation import balancer_arguments
-from maddercart.wirehost import frames as f
+from maddercart.wirehost import frames
 from maddercart.wirehost.settings import read_settings, report_order
 
-MICROSECOND = 1000
+MICROSECOND_NS = 1000
 
 
 class FrameError(ValueError):
-    """What came in is not a frame of this wire."""
+    """The input is not a valid frame of the simulator's protocol."""
 
 
-def seconds(nanos: int) -> float:
-    """Whole microseconds, rounded up: nothing that is asked for may come before its time."""
-    return -(-nanos // MICROSECOND) / 1e6
+def to_seconds(nanoseconds: int) -> float:
+    """Rounds up to whole microseconds, so that no timer fires early."""
+    return -(-nanoseconds // MICROSECOND_NS) / 1e6
 
 
-class Host:
+class WireHost:
+    """Holds the load balancer instances of one connection to the simulator."""
+
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
-        self.orders: dict[int, tuple[int, ...]] = {}
-        self.inventories: dict[int, list[Entry]] = {}
+        self.report_orders: dict[int, tuple[int, ...]] = {}  # by instance, see `report_order`
+        self.inventories: dict[int, list[Entry]] = {}  # upstream lists by their number
         self.actions: list[bytes] = []
-        self.tail = bytearray()
+        self.tail = bytearray()  # texts that the actions of this reply refer to
 
     def serve(self, source: BinaryIO, sink: BinaryIO) -> None:
-        while header := source.read(f.BATCH.size):
-            if len(header) < f.BATCH.size:
-                raise FrameError(f"batch header cut short: {len(header)} of {f.BATCH.size} bytes")
-            clock, length, records = f.BATCH.unpack(header)
+        """Processes batches until the end of `source`. Raises `FrameError` or `SettingsError`."""
+        while header := source.read(frames.BATCH.size):
+            if len(header) < frames.BATCH.size:
+                raise FrameError(f"batch header cut short: {len(header)} of {frames.BATCH.size} bytes")
+            clock, length, records = frames.BATCH.unpack(header)
             body = source.read(length)
-            if len(body) < length or length < records * f.EVENT_SIZE:
+            if len(body) < length or length < records * frames.EVENT_SIZE:
                 raise FrameError(f"batch at clock {clock}: {records} records do not fit {len(body)} bytes")
-            sink.write(self.answer(round(clock * SECOND), body, records))
+            sink.write(self.process_batch(round(clock * SECOND), body, records))
             sink.flush()
 
-    def answer(self, now: int, body: bytes, records: int) -> bytes:
+    def process_batch(self, now: int, body: bytes, records: int) -> bytes:
         self.actions.clear()
         self.tail.clear()
-        tail_at = records * f.EVENT_SIZE
-        for at in range(0, tail_at, f.EVENT_SIZE):
-            code, instance = f.HEAD.unpack_from(body, at)
-            if code == f.INVENTORY:
-                self.read_inventory(body, at, tail_at)
+        tail_offset = records * frames.EVENT_SIZE
+        for offset in range(0, tail_offset, frames.EVENT_SIZE):
+            code, instance = frames.HEAD.unpack_from(body, offset)
+            if code == frames.INVENTORY:
+                self.read_inventory(body, offset, tail_offset)
                 continue
-            if code == f.DETACH:
+            if code == frames.DETACH:
                 self.balancers.pop(instance, None)
                 continue
-            if code == f.POWER_ON:
-                self.start(now, instance, body, at, tail_at)
+            if code == frames.POWER_ON:
+                self.start_instance(now, instance, body, offset, tail_offset)
                 continue
             balancer = self.balancers.get(instance)
             if balancer is None:
-                raise FrameError(f"record {at // f.EVENT_SIZE}: instance {instance} was never started")
+                raise FrameError(
+                    f"record {offset // frames.EVENT_SIZE}: instance {instance} was never started"
+                )
             try:
-                self.call(balancer, now, code, instance, body, at)
+                self.handle_event(balancer, now, code, instance, body, offset)
                 while (decision := balancer.decide(now)) is not None:
-                    self.write(instance, decision)
+                    self.write_action(instance, decision)
             except FrameError:
                 raise
             except Exception as error:
-                self.write_text(f.FAULT, instance, f"{type(error).__name__}: {error}")
+                self.write_text(frames.FAULT, instance, f"{type(error).__name__}: {error}")
         payload = b"".join(self.actions) + self.tail
-        return f.REPLY.pack(len(self.actions), len(payload)) + payload
+        return frames.REPLY.pack(len(self.actions), len(payload)) + payload
 
-    def start(self, now: int, instance: int, body: bytes, at: int, tail_at: int) -> None:
-        seed, start, length = f.POWER_ON_BODY.unpack_from(body, at)
-        settings = read_settings(self.slice(body, tail_at + start, length).decode())
-        self.orders[instance] = report_order(settings)
+    def start_instance(self, now: int, instance: int, body: bytes, offset: int, tail_offset: int) -> None:
+        seed, settings_offset, length = frames.POWER_ON_BODY.unpack_from(body, offset)
+        settings = read_settings(self.tail_slice(body, tail_offset + settings_offset, length).decode())
+        self.report_orders[instance] = report_order(settings)
         self.balancers[instance] = Balancer(now, seed, **balancer_arguments(settings))
 
-    def call(self, balancer: Balancer, now: int, code: int, instance: int, body: bytes, at: int) -> None:
-        if code == f.COMPLETED:
-            query, upstream, duration, ended, number, outcome, n, *values = f.COMPLETED_BODY.unpack_from(
-                body, at
+    def handle_event(
+        self, balancer: Balancer, now: int, code: int, instance: int, body: bytes, offset: int
+    ) -> None:
+        if code == frames.COMPLETED:
+            query, upstream, duration, ended, number, outcome, value_count, *values = (
+                frames.COMPLETED_BODY.unpack_from(body, offset)
             )
-            report = self.report(instance, n, values) if n else None
+            report = self.make_report(instance, value_count, values) if value_count else None
             balancer.outcome(
                 now, query, upstream, number, round(duration * SECOND), outcome, ended != 0, report
             )
-        elif code == f.DEMAND:
-            query, _, remaining, offering, marks, party, _ = f.DEMAND_BODY.unpack_from(body, at)
-            again = marks & f.REPEATED != 0
-            balancer.take(now, query, offering, round(remaining * SECOND), 0, party, again)
-        elif code == f.TIMEOUT_FIRED:
+        elif code == frames.DEMAND:
+            query, _, remaining, offering, marks, party, _ = frames.DEMAND_BODY.unpack_from(body, offset)
+            repeated = marks & frames.REPEATED != 0
+            balancer.take(now, query, offering, round(remaining * SECOND), 0, party, repeated)
+        elif code == frames.TIMEOUT_FIRED:
             balancer.woken(now)
-        elif code == f.HEALTH_RESULT:
-            upstream, status, duration, n, *values = f.HEALTH_RESULT_BODY.unpack_from(body, at)
-            report = self.report(instance, n, values) if n else None
+        elif code == frames.HEALTH_RESULT:
+            upstream, status, duration, value_count, *values = frames.HEALTH_RESULT_BODY.unpack_from(
+                body, offset
+            )
+            report = self.make_report(instance, value_count, values) if value_count else None
             balancer.probed(now, upstream, status == DONE, round(duration * SECOND), report)
-        elif code == f.VANISHED:
-            balancer.left(now, f.VANISHED_BODY.unpack_from(body, at)[0])
-        elif code == f.TOPOLOGY:
-            kind, _, number = f.TOPOLOGY_BODY.unpack_from(body, at)
-            if kind == 3:
+        elif code == frames.VANISHED:
+            balancer.left(now, frames.VANISHED_BODY.unpack_from(body, offset)[0])
+        elif code == frames.TOPOLOGY:
+            kind, _, number = frames.TOPOLOGY_BODY.unpack_from(body, offset)
+            if kind == 3:  # the subscription failed; otherwise 0: changes, else a full list
                 balancer.list_failed(now)
             elif number not in self.inventories:
-                raise FrameError(f"record {at // f.EVENT_SIZE}: inventory {number} was never sent")
+                raise FrameError(f"record {offset // frames.EVENT_SIZE}: inventory {number} was never sent")
             else:
                 balancer.learn(now, self.inventories[number], kind != 0)
-        elif code not in (f.PEER, f.FIRST):  # peers say nothing to us; a stream is the client's own
-            raise FrameError(f"record {at // f.EVENT_SIZE}: event code {code} is unknown")
-
-    def report(self, instance: int, n: int, values: list[float]) -> Report:
-        known = [-1.0, -1.0, -1.0, -1.0]
-        for place, value in zip(self.orders[instance], values[:n], strict=False):
-            if place >= 0:
-                known[place] = value
-        service = known[2]
-        return Report(known[0], known[1], round(service * 1e6) if service >= 0 else -1, known[3])
-
-    def read_inventory(self, body: bytes, at: int, tail_at: int) -> None:
-        number, start, count = f.INVENTORY_BODY.unpack_from(body, at)
-        lines = self.slice(body, tail_at + start, count * f.ENTRY.size)
+        elif code not in (frames.PEER, frames.FIRST):  # peer messages and client streams are ignored
+            raise FrameError(f"record {offset // frames.EVENT_SIZE}: event code {code} is unknown")
+
+    def make_report(self, instance: int, value_count: int, values: list[float]) -> Report:
+        metrics = [-1.0, -1.0, -1.0, -1.0]  # in flight, queued, service time in ms, requests per second
+        for index, value in zip(self.report_orders[instance], values[:value_count], strict=False):
+            if index >= 0:
+                metrics[index] = value
+        service_time_ms = metrics[2]
+        return Report(
+            metrics[0], metrics[1], round(service_time_ms * 1e6) if service_time_ms >= 0 else -1, metrics[3]
+        )
+
+    def read_inventory(self, body: bytes, offset: int, tail_offset: int) -> None:
+        number, entries_offset, count = frames.INVENTORY_BODY.unpack_from(body, offset)
+        entries = self.tail_slice(body, tail_offset + entries_offset, count * frames.ENTRY.size)
         self.inventories[number] = [
             Entry(upstream, zone, kind, cell, condition, size, round(launched * SECOND))
-            for upstream, zone, kind, cell, condition, size, launched in f.ENTRY.iter_unpack(lines)
+            for upstream, zone, kind, cell, condition, size, launched in frames.ENTRY.iter_unpack(entries)
         ]
 
     @staticmethod
-    def slice(body: bytes, start: int, length: int) -> bytes:
+    def tail_slice(body: bytes, start: int, length: int) -> bytes:
         if start + length > len(body):
             raise FrameError(f"tail cut short: {length} bytes at {start} of {len(body)}")
         return body[start : start + length]
 
-    def write(self, instance: int, decision: Decision) -> None:
-        put = self.actions.append
+    def write_action(self, instance: int, decision: Decision) -> None:
+        append = self.actions.append
         match decision:
             case ("dispatch", int(query), int(upstream), int(limit)):
-                put(f.HAND_OFF_ACTION.pack(f.HAND_OFF, instance, query, upstream, seconds(limit)))
+                append(
+                    frames.HAND_OFF_ACTION.pack(frames.HAND_OFF, instance, query, upstream, to_seconds(limit))
+                )
             case ("wake", int(after)):
-                put(f.SET_TIMER_ACTION.pack(f.SET_TIMER, instance, seconds(after), 0))
+                append(frames.SET_TIMER_ACTION.pack(frames.SET_TIMER, instance, to_seconds(after), 0))
             case ("bounce", int(query), int(after)):
-                put(f.REFUSE_ACTION.pack(f.REFUSE, instance, query, seconds(after)))
+                append(frames.REFUSE_ACTION.pack(frames.REFUSE, instance, query, to_seconds(after)))
             case ("abort", int(query)):
-                put(f.GIVE_UP_ACTION.pack(f.GIVE_UP, instance, query))
+                append(frames.GIVE_UP_ACTION.pack(frames.GIVE_UP, instance, query))
             case ("cancel", int(query), int(number)):
-                put(f.ABORT_ATTEMPT_ACTION.pack(f.ABORT_ATTEMPT, instance, query, number))
+                append(frames.ABORT_ATTEMPT_ACTION.pack(frames.ABORT_ATTEMPT, instance, query, number))
             case ("probe", int(upstream)):
-                put(f.POLL_ACTION.pack(f.POLL, instance, upstream))
+                append(frames.POLL_ACTION.pack(frames.POLL, instance, upstream))
             case ("follow",):
-                put(f.FOLLOW_ACTION.pack(f.FOLLOW, instance, 1))
+                append(frames.FOLLOW_ACTION.pack(frames.FOLLOW, instance, 1))
             case ("note", str(text)):
-                self.write_text(f.RECORD, instance, text)
+                self.write_text(frames.RECORD, instance, text)
             case _:
                 raise TypeError(f"unknown decision {decision!r}")
 
     def write_text(self, code: int, instance: int, text: str) -> None:
-        line = text.encode()
-        self.actions.append(f.RECORD_ACTION.pack(code, instance, len(self.tail), len(line)))
-        self.tail += line
+        data = text.encode()
+        self.actions.append(frames.RECORD_ACTION.pack(code, instance, len(self.tail), len(data)))
+        self.tail += data
 
 
 gc.freeze()
