--- a/maddercart/__init__.py
+++ b/maddercart/__init__.py
@@ -1,3 +1,3 @@
-"""maddercart: a load balancer of which every client process has its own copy."""
+"""A load balancer that runs as a sidecar beside each client process."""
 
 __version__ = "0.1.0"
--- a/maddercart/__main__.py
+++ b/maddercart/__main__.py
@@ -1,8 +1,8 @@
-"""Starts the command line."""
+"""Entry point of `python -m maddercart`."""
 
 import signal
 
-# One that comes before there is a handler waits for it, or it would end the process; the imports take long.
+# Blocks SIGHUP until its handler is installed: the imports take long, and by default SIGHUP ends the process.
 signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 from maddercart.cli import app  # noqa: E402
--- a/maddercart/cli.py
+++ b/maddercart/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line interface."""
 
 import logging
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 app = typer.Typer(
     add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False,
-    help="A load balancer beside each client.",
+    help="A load balancer that runs as a sidecar beside each client.",
 )  # fmt: skip
 app.add_typer(gateway, name="gateway")
 app.add_typer(routes, name="routes")
@@ -26,40 +26,42 @@
 register(app)
 log = logging.getLogger(__name__)
 
-ConfigFile = Annotated[Path | None, typer.Option(envvar="RELAY_CONFIG", help="The configuration, as JSON.")]
-Level = Annotated[str, typer.Option(envvar="MADDERCART_LOG", help="DEBUG, INFO, WARNING or ERROR.")]
+ConfigFile = Annotated[Path | None, typer.Option(envvar="RELAY_CONFIG", help="The JSON configuration file.")]
+Level = Annotated[
+    str, typer.Option(envvar="MADDERCART_LOG", help="Log level: DEBUG, INFO, WARNING or ERROR.")
+]
 
-UNFIT = 2  # the exit code for a configuration that is missing or can't be used
+EXIT_INVALID_CONFIG = 2  # also for a configuration that is missing
 
 
 @app.command()
 def serve(config: ConfigFile = None, level: Level = "INFO") -> None:
-    """Serves the application until SIGTERM; SIGHUP has the configuration read again."""
-    lines, code = logs.start(level), 0
+    """Runs the sidecar until SIGTERM; SIGHUP reloads the configuration."""
+    log_queue, code = logs.start(level), 0
     try:
-        read = usable_file(config)
+        loaded = usable_file(config)
     except (OSError, ValueError) as error:
         log.error("configuration can't be used", extra={"file": str(config), "reason": str(error)})
-        code = UNFIT
+        code = EXIT_INVALID_CONFIG
     else:
         try:
-            Node(read, lambda: usable_file(config)).run()
+            Node(loaded, lambda: usable_file(config)).run()
         except Exception:
             log.exception("sidecar failed")
             code = 1
-    logs.flush(lines)
+    logs.flush(log_queue)
     raise typer.Exit(code)
 
 
 @app.command()
 def check(config: ConfigFile = None) -> None:
-    """Reads a configuration and says whether it can be used."""
+    """Checks whether a configuration can be used."""
     try:
-        read = usable_file(config)
+        loaded = usable_file(config)
     except (OSError, ValueError) as error:
         typer.echo(f"{config}: {error}", err=True)
-        raise typer.Exit(UNFIT) from error
-    typer.echo(f"{read.name}: listens at {read.listen}, {len(read.known.hosts)} upstreams known")
+        raise typer.Exit(EXIT_INVALID_CONFIG) from error
+    typer.echo(f"{loaded.name}: listens at {loaded.listen}, {len(loaded.known.hosts)} upstreams known")
 
 
 @app.command()
