--- a/maddercart/sidecar/__init__.py
+++ b/maddercart/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: one `Balancer`, and what carries its decisions out on sockets."""
+"""The sidecar process: one `Balancer`, and the code that executes its decisions on sockets."""
--- a/maddercart/sidecar/applications.py
+++ b/maddercart/sidecar/applications.py
@@ -1,4 +1,4 @@
-"""The application's connections: queries come in, final answers go out."""
+"""The connections of the application: requests come in, final answers go out."""
 
 import logging
 import socket
@@ -11,244 +11,262 @@
 from maddercart.messages.answer import Reply, unfit
 from maddercart.net.loop import NOTHING, READ, TIME_UP, WOKEN, Coroutine, Loop, Task, Wait
 from maddercart.net.sockets import accept, close, ended, read, read_now, write
-from maddercart.sidecar.decisions import Decisions
+from maddercart.sidecar.decisions import BalancerDriver
 from maddercart.sidecar.fronts import Front, Unfit
 
 log = logging.getLogger(__name__)
 
 
 class Phase(Enum):
-    NEW = auto()  # nothing has come yet
-    PART = auto()  # a request has begun
+    NEW = auto()  # accepted, nothing received yet
+    PART = auto()  # part of a request has been received
     BUSY = auto()  # from a whole request to the last byte of its answer
     IDLE = auto()  # between requests
-    REFUSED = auto()  # its last answer is out, and what still comes is only read away
+    REFUSED = auto()  # the last answer is written; further input is read and discarded
 
 
-# How long a connection may stay in a phase. Clients are on this machine or close by, so that a request takes
-# milliseconds to come, and one that is slow on purpose is told after two seconds. An idle one is kept as long
-# as is usual among servers.
-LONGEST = {Phase.NEW: 2 * SECOND, Phase.PART: 2 * SECOND, Phase.IDLE: 60 * SECOND, Phase.REFUSED: SECOND // 2}
+# How long a connection may stay in a phase. Clients are on this machine or close by, so a request takes
+# milliseconds to arrive, and a client that is slow on purpose is refused after two seconds. The limit for
+# idle connections is one that is usual among servers.
+PHASE_TIMEOUTS_NS = {
+    Phase.NEW: 2 * SECOND, Phase.PART: 2 * SECOND, Phase.IDLE: 60 * SECOND, Phase.REFUSED: SECOND // 2,
+}  # fmt: skip
 
-# Once places have run out, how long a connection keeps its own, by what it would lose, least first: a client
-# that says nothing, or was refused, loses nothing; one that keeps its connection may have to open another.
-KEEPS = {
+# When all connection slots are taken, how long a connection must have been in its phase before it may be
+# evicted. The order is that of eviction, by what the client would lose, least first: one that has sent
+# nothing or was refused loses nothing; one that keeps an idle connection may have to open another.
+EVICTABLE_AFTER_NS = {
     Phase.REFUSED: SECOND // 10, Phase.NEW: SECOND // 10, Phase.IDLE: 2 * SECOND, Phase.PART: SECOND // 2,
 }  # fmt: skip
 
 
-class Application:
-    """One connection of it."""
-
-    __slots__ = ("desk", "number", "phase", "reply", "side", "sock", "task", "until", "waits")
+class ApplicationConnection:
+    __slots__ = (
+        "driver", "phase", "phase_deadline", "protocol", "query_number", "reply", "sock", "task", "waiting",
+    )  # fmt: skip
 
-    def __init__(self, sock: socket.socket, most_body: int) -> None:
-        self.sock, self.side = sock, ApplicationSide(most_body)
-        self.phase, self.until = Phase.BUSY, 0  # in which until when
+    def __init__(self, sock: socket.socket, max_body: int) -> None:
+        self.sock, self.protocol = sock, ApplicationSide(max_body)
+        self.phase, self.phase_deadline = Phase.BUSY, 0
         self.task: Task | None = None
-        self.number = 0  # of the query it waits for
-        self.desk: Decisions | None = None  # where that is held
+        self.query_number = 0  # of the query that awaits its answer; 0: none
+        self.driver: BalancerDriver | None = None  # holds that query
         self.reply: Reply | None = None
-        self.waits = False  # for a reply, so that one must wake it
+        self.waiting = False  # the task waits for the reply and must be woken
 
-    def silent(self) -> bool:
-        """Nothing has come that was not read yet."""
+    def is_silent(self) -> bool:
+        """Whether there is no received data that was not read yet."""
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
-        except OSError:  # nothing has come, or nothing can come any more
+        except OSError:  # nothing has come, or the connection broke
             return True
 
 
 class Applications:
-    WRITE_WITHIN = 10 * SECOND  # an answer: a reader that stalls holds a descriptor
-    AHEAD = 65536  # bytes read that came before their turn
-    PAUSE = 20 * MILLISECOND  # before the next try where places or descriptors have run out
-    AT_ONCE = 32  # connections taken in a turn: hundreds that come together must not hold up those in hand
+    """Accepts and serves the connections of one listener."""
+
+    WRITE_TIMEOUT_NS = 10 * SECOND  # for an answer: a client that stalls while reading holds a descriptor
+    MAX_READ_AHEAD_BYTES = 65536  # of later requests, read while an answer is pending
+    ACCEPT_RETRY_NS = 20 * MILLISECOND  # where connection slots or descriptors have run out
+    ACCEPT_BATCH = 32  # connections accepted in a turn: hundreds at once must not delay those being served
 
     def __init__(self, loop: Loop, clock: Callable[[], int], front: Front, counts: Counter[str]) -> None:
         self.loop, self.clock, self.front, self.counts = loop, clock, front, counts
-        self.most, self.most_body = 1, MOST_BODY
-        self.open: set[Application] = set()
-        # Those in each phase, and since when, the longest first.
-        self.phases: dict[Phase, dict[Application, int]] = {phase: {} for phase in Phase}
+        self.most, self.most_body = 1, MOST_BODY  # connections; bytes of a request's body
+        self.connections: set[ApplicationConnection] = set()
+        # The connections in each phase and when they entered it, the longest first.
+        self.phases: dict[Phase, dict[ApplicationConnection, int]] = {phase: {} for phase in Phase}
         self.stopping = False
-        self.answer_by: int | None = None  # the process leaves soon after
+        self.answer_deadline: int | None = None  # by which queries are answered while the process stops
         self.acceptor: Task | None = None
 
     # -- accepting
 
     def accept_from(self, listener: socket.socket) -> Coroutine:
+        """Accepts connections until it is ended."""
         while True:
             yield Wait(listener.fileno(), READ)
             try:
-                if len(self.open) < self.most or self.make_room():
+                if len(self.connections) < self.most or self.make_room():
                     self.accept_some(listener)
                     continue
             except OSError as error:
                 log.warning("connections can't be accepted", extra={"reason": str(error)})
-            yield Wait(until=self.clock() + self.PAUSE)
+            yield Wait(until=self.clock() + self.ACCEPT_RETRY_NS)
 
-    def accept_some(self, listener: socket.socket, at_once: int = AT_ONCE) -> bool:
-        """True if there was nothing more to accept. Raises `OSError`."""
-        for _ in range(at_once):
-            if len(self.open) >= self.most:
+    def accept_some(self, listener: socket.socket, limit: int = ACCEPT_BATCH) -> bool:
+        """Accepts at most `limit` connections; true if there was nothing more to accept. Raises `OSError`."""
+        for _ in range(limit):
+            if len(self.connections) >= self.most:
                 return False
             if (sock := accept(listener)) is None:
                 return True
-            application = Application(sock, self.most_body)
-            self.open.add(application)
-            self.enter(application, Phase.NEW)
-            application.task = self.loop.spawn(self.serve(application))
+            connection = ApplicationConnection(sock, self.most_body)
+            self.connections.add(connection)
+            self.enter_phase(connection, Phase.NEW)
+            connection.task = self.loop.spawn(self.serve(connection))
         return False
 
     def make_room(self) -> bool:
-        """Guards against connections on which nothing is asked keeping those away that would ask: all places
-        were held by clients that had asked once. The one that has lasted longest in its phase goes."""
+        """Evicts the connection that has been longest in its phase; true if a slot is free now or soon.
+        Clients that asked once and kept their connection could otherwise hold all slots and keep out
+        clients with queries."""
         now = self.clock()
-        for phase, keeps in KEEPS.items():
-            for application, since in self.phases[phase].items():
-                if now - since < keeps:
+        for phase, evictable_after in EVICTABLE_AFTER_NS.items():
+            for connection, since in self.phases[phase].items():
+                if now - since < evictable_after:
                     break
-                if application.task is not None and (phase == Phase.REFUSED or application.silent()):
-                    return self.evict(application, application.task)
+                if connection.task is not None and (phase == Phase.REFUSED or connection.is_silent()):
+                    return self.evict(connection, connection.task)
         return False
 
-    def evict(self, application: Application, task: Task) -> bool:
-        """True if its place is free now or soon. What has been read in part gets an answer before it goes."""
-        if application.phase != Phase.PART:
+    def evict(self, connection: ApplicationConnection, task: Task) -> bool:
+        """True if the slot is free now or soon. A request that was read in part is answered before its
+        connection is closed."""
+        if connection.phase != Phase.PART:
             self.counts["crowded_out"] += 1
             self.loop.end(task)
             return True
-        if self.phases[Phase.REFUSED]:  # the place of one that has its answer is free in a moment
+        if self.phases[Phase.REFUSED]:  # a refused connection will free its slot in a moment
             return False
         self.loop.resume(task, TIME_UP)
         return True
 
-    def crowded(self) -> bool:
-        """A place is worth more than a connection that is kept: half are taken, a third by such that rest.
-        A new connection for each query costs CPU: silent ones alone, or many that are used, don't count."""
-        return 2 * len(self.open) > self.most and 3 * len(self.phases[Phase.IDLE]) >= self.most
+    def is_crowded(self) -> bool:
+        """Whether a free slot is worth more than keeping a connection open: more than half of all slots are
+        taken, and idle connections hold a third. A new connection for each query costs CPU, so neither silent
+        connections alone nor many active ones are a reason to close."""
+        return 2 * len(self.connections) > self.most and 3 * len(self.phases[Phase.IDLE]) >= self.most
 
-    def enter(self, application: Application, phase: Phase) -> None:
+    def enter_phase(self, connection: ApplicationConnection, phase: Phase) -> None:
         now = self.clock()
-        self.phases[application.phase].pop(application, None)
-        self.phases[phase][application] = now
-        if (application.phase, phase) != (Phase.NEW, Phase.PART):  # to begin late gives no more time
-            application.until = now + LONGEST.get(phase, 0)
-        application.phase = phase
+        self.phases[connection.phase].pop(connection, None)
+        self.phases[phase][connection] = now
+        if (connection.phase, phase) != (Phase.NEW, Phase.PART):  # a late first byte gives no more time
+            connection.phase_deadline = now + PHASE_TIMEOUTS_NS.get(phase, 0)
+        connection.phase = phase
 
     # -- serving
 
-    def serve(self, application: Application) -> Coroutine:
+    def serve(self, connection: ApplicationConnection) -> Coroutine:
         try:
-            yield from self.converse(application)
+            yield from self.handle_requests(connection)
         except OSError:
-            pass  # it broke; whoever waited on it has gone
+            pass  # the connection broke: the client has gone
         finally:
-            if application.number and application.desk is not None:
-                application.desk.left(application.number)
-            self.open.discard(application)
-            self.phases[application.phase].pop(application, None)
-            close(self.loop, application.sock)
-
-    def converse(self, application: Application) -> Generator[Wait, int, None]:
-        side, sock = application.side, application.sock
-        while not side.closing:
+            if connection.query_number and connection.driver is not None:
+                connection.driver.drop_query(connection.query_number)
+            self.connections.discard(connection)
+            self.phases[connection.phase].pop(connection, None)
+            close(self.loop, connection.sock)
+
+    def handle_requests(self, connection: ApplicationConnection) -> Generator[Wait, int, None]:
+        """Answers requests one by one until the connection ends. Raises `OSError` if it breaks."""
+        protocol, sock = connection.protocol, connection.sock
+        while not protocol.closing:
             try:
-                request = side.next_request()
+                request = protocol.next_request()
                 if request is None:
-                    if side.closing or not (yield from write(sock, side.go_on(), self.write_by())):
+                    if protocol.closing or not (
+                        yield from write(sock, protocol.go_on(), self.write_deadline())
+                    ):
                         return
-                    if side.begun and application.phase != Phase.PART:
-                        self.enter(application, Phase.PART)
-                    data = yield from read(sock, application.until)
-                    if data is None and not side.begun:
+                    if protocol.begun and connection.phase != Phase.PART:
+                        self.enter_phase(connection, Phase.PART)
+                    data = yield from read(sock, connection.phase_deadline)
+                    if data is None and not protocol.begun:
                         return
                     if data is None:
                         raise Unreadable(408, "the request did not come in time")
-                    side.feed(data)
+                    protocol.feed(data)
                     continue
             except Unreadable as error:
-                refusal = self.unfit(error.status, str(error))
-                out = side.answer(refusal.status, refusal.headers(), refusal.body, close=True)
-                self.enter(application, Phase.REFUSED)
-                if not (yield from write(sock, out, application.until)):
+                refusal = self.reject(error.status, str(error))
+                out = protocol.answer(refusal.status, refusal.headers(), refusal.body, close=True)
+                self.enter_phase(connection, Phase.REFUSED)
+                if not (yield from write(sock, out, connection.phase_deadline)):
                     return
-                return (yield from self.linger(application))
-            self.enter(application, Phase.BUSY)
-            reply = yield from self.answer(application, request)
+                return (yield from self.discard_input(connection))
+            self.enter_phase(connection, Phase.BUSY)
+            reply = yield from self.handle(connection, request)
             if reply is None:
                 return
-            # Guards against clients that ask once and keep their connection: each was kept for two seconds;
-            # with all places taken, or all that clients have, 60 queries a second of 400 were answered.
-            out = side.answer(reply.status, reply.headers(), reply.body, self.stopping or self.crowded())
-            if not (yield from write(sock, out, self.write_by())):
+            # Clients that ask once and keep their connection would each hold a slot for two seconds: with
+            # all slots taken, or all connections that the clients have, only 60 of 400 queries a second
+            # were answered.
+            out = protocol.answer(
+                reply.status, reply.headers(), reply.body, self.stopping or self.is_crowded()
+            )
+            if not (yield from write(sock, out, self.write_deadline())):
                 return
-            self.enter(application, Phase.IDLE)
+            self.enter_phase(connection, Phase.IDLE)
 
-    def write_by(self) -> int:
-        return self.clock() + self.WRITE_WITHIN
+    def write_deadline(self) -> int:
+        return self.clock() + self.WRITE_TIMEOUT_NS
 
-    def linger(self, application: Application) -> Generator[Wait, int, None]:
-        """What still comes is read for a while, or the connection's end would undo the answer."""
-        application.sock.shutdown(socket.SHUT_WR)
-        while (yield from read(application.sock, application.until)):
+    def discard_input(self, connection: ApplicationConnection) -> Generator[Wait, int, None]:
+        """Reads and discards input for a while. Closing with unread input would reset the connection, and the
+        client might lose the answer."""
+        connection.sock.shutdown(socket.SHUT_WR)
+        while (yield from read(connection.sock, connection.phase_deadline)):
             pass
 
-    def answer(self, application: Application, request: Request) -> Generator[Wait, int, Reply | None]:
-        """The final answer to a request; None if its client has gone."""
-        opened = self.front.receive(request, application.sock, self.stopping)
+    def handle(
+        self, connection: ApplicationConnection, request: Request
+    ) -> Generator[Wait, int, Reply | None]:
+        """The final answer to a request; None if the client has gone."""
+        opened = self.front.receive(request, connection.sock, self.stopping)
         if isinstance(opened, Reply):
             return opened
         if isinstance(opened, Unfit):
-            return self.unfit(opened.status, opened.reason)
-        application.reply = None
-        if self.answer_by is not None:
-            left = max(MILLISECOND, self.answer_by - self.clock())
+            return self.reject(opened.status, opened.reason)
+        connection.reply = None
+        if self.answer_deadline is not None:
+            left = max(MILLISECOND, self.answer_deadline - self.clock())
             opened.query.remaining = min(opened.query.remaining, left)
 
-        def answered(reply: Reply) -> None:
-            application.reply, application.number = reply, 0
-            if application.waits and application.task is not None:
-                self.loop.wake(application.task)
+        def on_reply(reply: Reply) -> None:
+            connection.reply, connection.query_number = reply, 0
+            if connection.waiting and connection.task is not None:
+                self.loop.wake(connection.task)
 
         try:
-            number = opened.desk.take(opened.query, answered, lambda: ended(application.sock))
-            if application.reply is None:
-                application.number, application.desk, application.waits = number, opened.desk, True
-                gone = yield from self.wait(application)
-                application.waits = False
-                if gone:
+            number = opened.driver.take_query(opened.query, on_reply, lambda: ended(connection.sock))
+            if connection.reply is None:
+                connection.query_number, connection.driver, connection.waiting = number, opened.driver, True
+                client_gone = yield from self.wait_for_reply(connection)
+                connection.waiting = False
+                if client_gone:
                     return None
         finally:
             self.front.over(opened)
-        return application.reply
+        return connection.reply
 
-    def unfit(self, status: int, reason: str) -> Reply:
+    def reject(self, status: int, reason: str) -> Reply:
         self.counts["unfit"] += 1
-        log.debug("request unfit", extra={"status": status, "reason": reason})
+        log.debug("request rejected", extra={"status": status, "reason": reason})
         return unfit(status, reason)
 
-    def wait(self, application: Application) -> Generator[Wait, int, bool]:
-        """Until there is a reply; true if the client has gone before."""
-        while application.reply is None:
-            events = READ if application.side.held < self.AHEAD else NOTHING
-            if (yield Wait(application.sock.fileno(), events)) == WOKEN:
+    def wait_for_reply(self, connection: ApplicationConnection) -> Generator[Wait, int, bool]:
+        """Waits until there is a reply; true if the client closed the connection first."""
+        while connection.reply is None:
+            events = READ if connection.protocol.held < self.MAX_READ_AHEAD_BYTES else NOTHING
+            if (yield Wait(connection.sock.fileno(), events)) == WOKEN:
                 continue
-            data = read_now(application.sock)
+            data = read_now(connection.sock)
             if data == b"":
                 return True
             if data:
-                application.side.feed(data)
+                connection.protocol.feed(data)
         return False
 
     def phase_counts(self) -> dict[str, int]:
-        return {phase.name.lower(): len(those) for phase, those in self.phases.items() if those}
+        return {phase.name.lower(): len(members) for phase, members in self.phases.items() if members}
 
     # -- stopping
 
     def close_idle(self) -> None:
-        """Those between requests on which nothing has come."""
-        for application in [*self.phases[Phase.IDLE], *self.phases[Phase.NEW]]:
-            if application.task is not None and application.silent():
-                self.loop.end(application.task)
+        """Closes connections without a request under way and without unread data."""
+        for connection in [*self.phases[Phase.IDLE], *self.phases[Phase.NEW]]:
+            if connection.task is not None and connection.is_silent():
+                self.loop.end(connection.task)
--- a/maddercart/sidecar/decisions.py
+++ b/maddercart/sidecar/decisions.py
@@ -1,4 +1,4 @@
-"""Makes the calls on the one `Balancer`, pulls its decisions and carries them out."""
+"""Drives the `Balancer`: reports events to it, pulls its decisions and executes them."""
 
 import logging
 from collections import Counter, deque
@@ -13,7 +13,7 @@
 from maddercart.messages.query import Query
 from maddercart.net.loop import SOON, Coroutine, Loop, Task, Wait
 from maddercart.policy.balancer import Balancer
-from maddercart.sidecar.dispatches import Dispatcher, Ended
+from maddercart.sidecar.dispatches import Dispatcher, DispatchResult
 from maddercart.sidecar.endings import OUTCOMES, Ending
 from maddercart.sidecar.pool import Address
 from maddercart.sidecar.upstreams import Upstreams
@@ -22,245 +22,274 @@
 
 
 @dataclass(slots=True)
-class Held:
+class HeldQuery:
     """A query that has no final answer yet."""
 
     query: Query
-    answer: Callable[[Reply], None]
-    taken: int
+    send_reply: Callable[[Reply], None]
+    taken_at: int
     client_left: Callable[[], bool]
-    gone: bool = False  # its client has left, which the module is not told yet
+    client_gone: bool = False  # the client was seen to have left; the balancer has not been told yet
     dispatches: int = 0
 
 
 @dataclass(slots=True)
-class Out:
+class PendingDispatch:
     """A dispatch that has not ended."""
 
-    number: int
-    shot: int
+    query_number: int
+    shot: int  # index of the dispatch within its query, from 0
     upstream: int
-    sent: int
+    sent_at: int
     task: Task | None = None
-    trace: str = ""  # the id that its client gave the query
-    dial: Address | None = None
-    begun: bool = False  # its connection is up: whether it is still written is asked there, not here
+    trace: str = ""  # the trace id that the client gave the query
+    address: Address | None = None
+    connected: bool = False  # from here on `may_begin` in `send_dispatch` decides whether it is still written
 
 
-class Decisions:
+class BalancerDriver:
+    """Holds the queries of one pool and their dispatches on behalf of its balancer.
+
+    `follow_list` is called when the balancer decides to subscribe to changes of the list."""
+
     def __init__(
         self, loop: Loop, clock: Callable[[], int], balancer: Balancer, upstreams: Upstreams,
-        dispatcher: Dispatcher, follow: Callable[[], None],
+        dispatcher: Dispatcher, follow_list: Callable[[], None],
     ) -> None:  # fmt: skip
         self.loop, self.clock, self.balancer, self.upstreams = loop, clock, balancer, upstreams
-        self.dispatcher, self.follow = dispatcher, follow
-        self.probe_by: Callable[[int], Query] | None = None  # what is sent to an upstream as a probe
-        self.whole = False  # come-back times are told in whole seconds
-        self.taken = 0
-        self.held: dict[int, Held] = {}
-        self.out: dict[tuple[int, int], Out] = {}
-        self.arisen: deque[tuple[Out, Ended]] = deque()  # endings that came while decisions were carried out
-        self.settling = False
-        self.counts: Counter[str] = Counter()  # of what happened, for the log
-        self.times = HdrHistogram(1, 60_000, 2)  # from a query to its answer, in milliseconds
-
-    # -- what happens
-
-    def take(
-        self, query: Query, answer: Callable[[Reply], None], client_left: Callable[[], bool] = lambda: False
-    ) -> int:
-        """Its time counts from when its last byte came: what the loop is behind has gone already.
-        `client_left` is asked ahead of each attempt: whether the client has closed its connection."""
+        self.dispatcher, self.follow_list = dispatcher, follow_list
+        self.probe_by: Callable[[int], Query] | None = None  # makes the probe request for an upstream
+        self.whole = False  # Retry-After is given in whole seconds
+        self.taken = 0  # queries so far; also the number of the last one
+        self.held: dict[int, HeldQuery] = {}  # by query number
+        self.out: dict[tuple[int, int], PendingDispatch] = {}  # by (query number, shot)
+        # Dispatches whose result the balancer has not been told yet.
+        self.unreported: deque[tuple[PendingDispatch, DispatchResult]] = deque()
+        self.settling = False  # `settle` is running
+        self.counts: Counter[str] = Counter()  # events since the last log line of counts
+        self.times = HdrHistogram(1, 60_000, 2)  # milliseconds from a query to its answer
+
+    # -- events
+
+    def take_query(
+        self, query: Query, send_reply: Callable[[Reply], None],
+        client_left: Callable[[], bool] = lambda: False,
+    ) -> int:  # fmt: skip
+        """Takes a query and returns its number. The query's time counts from when its last byte came, so the
+        balancer is told how far the loop lags behind. `client_left` is asked before each attempt whether the
+        client has closed its connection."""
         self.taken += 1
         self.counts["taken"] += 1
         number, now = self.taken, self.clock()
-        self.held[number] = Held(query, answer, now, client_left)
-        behind = self.loop.behind()
-        self.balancer.take(now, number, query.offering, query.remaining, behind, most=query.most)
+        self.held[number] = HeldQuery(query, send_reply, now, client_left)
+        lag = self.loop.behind()
+        self.balancer.take(now, number, query.offering, query.remaining, lag, most=query.most)
         self.settle()
         return number
 
-    def left(self, number: int) -> None:
+    def drop_query(self, number: int) -> None:
+        """The client has closed its connection: nothing is owed to it any more."""
         if (held := self.held.pop(number, None)) is not None:
             self.counts["left"] += 1
             if log.isEnabledFor(logging.DEBUG):
                 trace = held.query.trace.decode("latin-1")
-                log.debug("client left", extra={"query": number, "trace": trace})
+                log.debug(
+                    "client closed the connection before its answer", extra={"query": number, "trace": trace}
+                )
             held.query.over(held.dispatches, "left")
             self.balancer.left(self.clock(), number)
             self.settle()
 
-    def gone(self, number: int) -> bool:
-        """Its client was seen to have left, ahead of an attempt."""
+    def is_client_gone(self, number: int) -> bool:
+        """Whether the client was seen to have left just before an attempt."""
         held = self.held.get(number)
-        return held is not None and held.gone
+        return held is not None and held.client_gone
 
-    def learn(self, *told: tuple[Sequence[Entry], bool]) -> None:
-        """Lists, or changes of one, in their order: nothing is decided before the last of them is known."""
-        for entries, whole in told:
+    def update_upstreams(self, *updates: tuple[Sequence[Entry], bool]) -> None:
+        """Applies lists, or changes of one, in order, as pairs of entries and whether they are the whole
+        list. No decision is pulled before the last of them is known."""
+        for entries, whole in updates:
             self.balancer.learn(self.clock(), entries, whole)
-        self.recall()
+        self.withdraw_disallowed()
         self.settle()
 
-    def recall(self) -> None:
-        """What is on its way to an upstream that gets nothing new goes elsewhere now, not once its connection
-        is up or its time for that has passed."""
-        for out in [out for out in self.out.values() if not out.begun and out.task is not None]:
-            if out.dial is not None and not self.dispatcher.may_send(out.upstream, out.dial):
+    def withdraw_disallowed(self) -> None:
+        """Withdraws dispatches that are still connecting to an upstream that may get no new query, so that
+        they go elsewhere now and not only once the connection is up or the connect timeout has passed."""
+        for out in [out for out in self.out.values() if not out.connected and out.task is not None]:
+            if out.address is not None and not self.dispatcher.may_send(out.upstream, out.address):
                 self.withdraw(out, Ending.WITHDRAWN)
 
-    def renew(self, terms: Mapping[str, Any]) -> None:
+    def update_settings(self, terms: Mapping[str, Any]) -> None:
+        """`terms` are the keyword arguments of `Balancer.renew`."""
         self.balancer.renew(self.clock(), **terms)
         self.settle()
 
     def list_failed(self, left: int | None = None) -> None:
+        """The subscription to the list failed; `left`: nanoseconds until what is missed counts as told."""
         self.balancer.list_failed(self.clock(), *(() if left is None else (left,)))
         self.settle()
 
-    def woken(self) -> None:
+    def wake_balancer(self) -> None:
         self.balancer.woken(self.clock())
         self.settle()
 
-    def ended(self, out: Out, ended: Ended) -> None:
-        """A dispatch has come to its end; the first answer that is whole ends its query."""
-        if self.out.pop((out.number, out.shot), None) is None:
+    def dispatch_ended(self, out: PendingDispatch, result: DispatchResult) -> None:
+        """Handles the end of a dispatch unless it was withdrawn before. The first whole answer ends the
+        query."""
+        if self.out.pop((out.query_number, out.shot), None) is None:
             return
-        self.arisen.append((out, ended))
+        self.unreported.append((out, result))
         self.settle()
 
-    # -- what is decided
+    # -- decisions
 
     def settle(self) -> None:
-        """What arises while decisions are carried out is fed back after the pull, not inside it."""
+        """Reports results and executes decisions until there are none left. A result that arises while a
+        decision is executed is reported after the pull, not inside it."""
         if self.settling:
             return
         self.settling = True
         try:
             while True:
-                while self.arisen:
-                    self.feed_back(*self.arisen.popleft())
+                while self.unreported:
+                    self.report_result(*self.unreported.popleft())
                 now = self.clock()
                 while (decision := self.balancer.decide(now)) is not None:
-                    self.carry_out(now, decision)
-                if not self.arisen:
+                    self.execute(now, decision)
+                if not self.unreported:
                     return
         finally:
             self.settling = False
 
-    def feed_back(self, out: Out, ended: Ended) -> None:
-        ending, answer = ended
+    def report_result(self, out: PendingDispatch, result: DispatchResult) -> None:
+        ending, answer = result
         self.counts[ending.name.lower()] += 1
-        if self.gone(out.number):
-            self.left(out.number)
+        if self.is_client_gone(out.query_number):
+            self.drop_query(out.query_number)
         outcome, now = OUTCOMES[ending], self.clock()
         if log.isEnabledFor(logging.DEBUG):
             log.debug("dispatch ended", extra={
-                "query": out.number, "trace": out.trace, "shot": out.shot, "ending": ending.name.lower(),
-                "upstream": self.upstreams.names.get(out.upstream), "ms": (now - out.sent) // MILLISECOND,
+                "query": out.query_number, "trace": out.trace, "shot": out.shot,
+                "ending": ending.name.lower(), "upstream": self.upstreams.names.get(out.upstream),
+                "ms": (now - out.sent_at) // MILLISECOND,
                 "report": answer.report if answer is not None else None,
             })  # fmt: skip
         if outcome == DONE and answer is not None:
-            self.answer(out.number, "done", done(answer))
+            self.answer_query(out.query_number, "done", done(answer))
         self.balancer.outcome(
-            now, out.number, out.upstream, out.shot, now - out.sent, outcome, out.number not in self.held,
-            answer.report if answer is not None else None,
+            now, out.query_number, out.upstream, out.shot, now - out.sent_at, outcome,
+            out.query_number not in self.held, answer.report if answer is not None else None,
         )  # fmt: skip
 
-    def carry_out(self, now: int, decision: Decision) -> None:
+    def execute(self, now: int, decision: Decision) -> None:
         match decision:
             case ("dispatch", int(number), int(upstream), int(limit)):
-                self.dispatch(now, number, upstream, limit)
+                self.start_dispatch(now, number, upstream, limit)
             case ("wake", int(after)):
-                self.loop.at(now + after, self.woken)
+                self.loop.at(now + after, self.wake_balancer)
             case ("bounce", int(number), int(after)):
-                self.answer(number, "bounced", bounced(after, self.whole))
+                self.answer_query(number, "bounced", bounced(after, self.whole))
             case ("abort", int(number)):
-                self.answer(number, "aborted", aborted())
+                self.answer_query(number, "aborted", aborted())
             case ("cancel", int(number), int(shot)):
-                self.cancel(number, shot)
+                self.cancel_dispatch(number, shot)
             case ("probe", int(upstream)):
-                self.loop.spawn(self.probe(now, upstream), SOON)
+                self.loop.spawn(self.run_probe(now, upstream), SOON)
             case ("follow",):
-                self.follow()
+                self.follow_list()
             case ("note", str(text)):
                 *words, last = text.split()
-                known = self.upstreams.names.get(int(last)) if last.isdigit() else None
-                log.info(" ".join([*words, known or last]))
+                name = self.upstreams.names.get(int(last)) if last.isdigit() else None
+                log.info(" ".join([*words, name or last]))
             case _:
                 raise TypeError(f"unknown decision {decision!r}")
 
-    def dispatch(self, now: int, number: int, upstream: int, limit: int) -> None:
+    def start_dispatch(self, now: int, number: int, upstream: int, limit: int) -> None:
+        """`limit`: nanoseconds after which the dispatch has timed out."""
         held = self.held[number]
-        out = Out(number, held.dispatches, upstream, now, trace=held.query.trace.decode("latin-1"))
+        out = PendingDispatch(
+            number, held.dispatches, upstream, now, trace=held.query.trace.decode("latin-1")
+        )
         held.dispatches += 1
         self.out[number, out.shot] = out
-        task = self.loop.spawn(self.run(held.query, out, now + limit), SOON)
+        task = self.loop.spawn(self.run_dispatch(held.query, out, now + limit), SOON)
         out.task = task
 
-    def run(self, query: Query, out: Out, until: int) -> Coroutine:
-        ended: Ended = (Ending.FAULT, None)
+    def run_dispatch(self, query: Query, out: PendingDispatch, deadline: int) -> Coroutine:
+        result: DispatchResult = (Ending.FAULT, None)
         try:
-            ended = yield from self.send(query, out, until)
+            result = yield from self.send_dispatch(query, out, deadline)
         except Exception:
-            log.exception("dispatch failed")
-        self.ended(out, ended)
-
-    def send(self, query: Query, out: Out, until: int) -> Generator[Wait, int, Ended]:
-        out.dial = dial = self.upstreams.dials.get(out.upstream)
-
-        def begin() -> bool:
-            # Guards against repeats that go out after their window, on a connection that came up late.
-            out.begun = True
-            held = self.held.get(out.number)
+            log.exception("dispatch raised an exception")
+        self.dispatch_ended(out, result)
+
+    def send_dispatch(
+        self, query: Query, out: PendingDispatch, deadline: int
+    ) -> Generator[Wait, int, DispatchResult]:
+        out.address = address = self.upstreams.addresses.get(out.upstream)
+
+        def may_begin() -> bool:
+            # A connection may come up late: a repeat of a labelled query must not go out after its window.
+            out.connected = True
+            held = self.held.get(out.query_number)
             if held is not None and held.client_left():
-                # Guards against an attempt for a client that left while the process was held up.
-                held.gone = True
-            if held is None or held.gone:
+                # The client may have left while the process was stalled: no attempt is made for it.
+                held.client_gone = True
+            if held is None or held.client_gone:
                 return False
-            return self.balancer.may_begin(self.clock(), out.number)
+            return self.balancer.may_begin(self.clock(), out.query_number)
 
-        return (yield from self.dispatcher.send(query, out.upstream, dial, until, begin))
+        return (yield from self.dispatcher.send(query, out.upstream, address, deadline, may_begin))
 
-    def probe(self, sent: int, upstream: int) -> Coroutine:
-        """Told in a turn of its own: a decision that is being carried out is not answered inside the pull."""
-        ended: Ended = (Ending.FAULT, None)
+    def run_probe(self, sent_at: int, upstream: int) -> Coroutine:
+        """Sends a probe and reports its result from a timer, so that the balancer never gets the result of a
+        decision inside the pull that made it."""
+        result: DispatchResult = (Ending.FAULT, None)
         try:
             if self.probe_by is not None:
                 query = self.probe_by(upstream)
-                dial = self.upstreams.dials.get(upstream)
-                until = sent + query.remaining
-                ended = yield from self.dispatcher.send(query, upstream, dial, until, lambda: True)
+                address = self.upstreams.addresses.get(upstream)
+                deadline = sent_at + query.remaining
+                result = yield from self.dispatcher.send(query, upstream, address, deadline, lambda: True)
         except Exception:
-            log.exception("probe failed")
+            log.exception("probe raised an exception")
 
-        def told() -> None:
-            ending, answer = ended
+        def report() -> None:
+            ending, answer = result
             now = self.clock()
-            well = ending == Ending.ANSWERED and answer is not None and answer.status == 200
-            self.balancer.probed(now, upstream, well, now - sent, answer.report if answer else None)
+            healthy = ending == Ending.ANSWERED and answer is not None and answer.status == 200
+            self.balancer.probed(now, upstream, healthy, now - sent_at, answer.report if answer else None)
             self.settle()
 
-        self.loop.at(self.clock(), told)
+        self.loop.at(self.clock(), report)
 
-    def cancel(self, number: int, shot: int) -> None:
+    def cancel_dispatch(self, number: int, shot: int) -> None:
         if (out := self.out.get((number, shot))) is not None:
             self.withdraw(out, Ending.CLOSED_BY_US)
 
-    def withdraw(self, out: Out, ending: Ending) -> None:
-        """Its connection is closed before anything else is sent for its query."""
-        del self.out[out.number, out.shot]
+    def withdraw(self, out: PendingDispatch, ending: Ending) -> None:
+        """Ends a dispatch; its connection is closed before anything else is sent for the query."""
+        del self.out[out.query_number, out.shot]
         if out.task is not None:
             self.loop.end(out.task)
-            self.arisen.append((out, (ending, None)))
+            self.unreported.append((out, (ending, None)))
 
-    def answer(self, number: int, how: str, reply: Reply) -> None:
+    def answer_query(self, number: int, how: str, reply: Reply) -> None:
+        """Gives a query its final answer; `how` is done, bounced or aborted."""
         if (held := self.held.pop(number, None)) is not None:
             self.counts[how] += 1
-            took = (self.clock() - held.taken) // MILLISECOND
-            self.times.record_value(max(1, took))
+            duration_ms = (self.clock() - held.taken_at) // MILLISECOND
+            self.times.record_value(max(1, duration_ms))
             if log.isEnabledFor(logging.DEBUG):
                 trace, dispatches = held.query.trace.decode("latin-1"), held.dispatches
-                words = {"query": number, "trace": trace, "how": how, "dispatches": dispatches, "ms": took}
-                log.debug("query answered", extra=words)
+                fields = {
+                    "query": number,
+                    "trace": trace,
+                    "how": how,
+                    "dispatches": dispatches,
+                    "ms": duration_ms,
+                }
+                log.debug("query answered", extra=fields)
             held.query.over(held.dispatches, how)
-            held.answer(reply)
+            held.send_reply(reply)
--- a/maddercart/sidecar/dispatches.py
+++ b/maddercart/sidecar/dispatches.py
@@ -1,4 +1,4 @@
-"""One dispatch: a query goes out on one connection, and that connection comes to one ending."""
+"""Sends one dispatch: a query goes out on one connection, which comes to exactly one ending."""
 
 import logging
 from collections.abc import Callable, Generator
@@ -9,103 +9,114 @@
 from maddercart.messages.query import Query
 from maddercart.net.loop import Wait
 from maddercart.net.sockets import OUR_LACK, connect, read, write
-from maddercart.sidecar.endings import Ending, of_status
-from maddercart.sidecar.pool import Address, Connection, Pool
+from maddercart.sidecar.endings import Ending, ending_of_status
+from maddercart.sidecar.pool import Address, Connection, ConnectionPool
 
 log = logging.getLogger(__name__)
 
-Ended = tuple[Ending, Answer | None]
+DispatchResult = tuple[Ending, Answer | None]  # the answer is None unless a whole one came
 
 
 class Dispatcher:
-    LOOKED = 5 * MILLISECOND  # ago: less is within what the list itself is late by
+    # Age of the loop's last poll above which discovery is checked for unread updates before a send. Less is
+    # within the delay of the list itself.
+    LOOKED = 5 * MILLISECOND
 
     def __init__(
-        self, pool: Pool, clock: Callable[[], int], may_send: Callable[[int, Address], bool],
-        meaning: Callable[[int, bool], Ending] = of_status,
+        self, pool: ConnectionPool, clock: Callable[[], int], may_send: Callable[[int, Address], bool],
+        classify: Callable[[int, bool], Ending] = ending_of_status,
     ) -> None:  # fmt: skip
-        """`may_send` tells whether an upstream may get something new at an address, by all that was told up
-        to now; `meaning` an answer's ending from its status and whether it says that it never ran."""
-        self.pool, self.clock, self.may_send, self.meaning = pool, clock, may_send, meaning
-        self.news: Callable[[], bool] = lambda: False  # told already, but not read yet
+        """`may_send` tells whether an upstream may get a new query at an address, by the list as known now.
+        `classify` gives the ending for an answer's status and whether the answer says that it never ran."""
+        self.pool, self.clock, self.may_send, self.classify = pool, clock, may_send, classify
+        self.news: Callable[[], bool] = lambda: False  # whether discovery has sent something not read yet
         self.connect_timeout = 0
-        self.bodies = self.most_bodies = 0  # bytes of answers that have come in part, and how many may
+        self.body_bytes = self.max_body_bytes = 0  # of partly received answers, all together, and the limit
 
     def send(
-        self, query: Query, upstream: int, dial: Address | None, until: int, begin: Callable[[], bool]
-    ) -> Generator[Wait, int, Ended]:
-        """Sends it once and never again by itself; `begin` says ahead of its first byte whether it still
-        may. However it ends, its connection is closed or at rest before that is told, so that nothing goes
-        out beside it."""
-        if dial is None:
+        self, query: Query, upstream: int, address: Address | None, deadline: int,
+        may_begin: Callable[[], bool],
+    ) -> Generator[Wait, int, DispatchResult]:  # fmt: skip
+        """Sends the query once and never retries. `may_begin` is asked before the first byte whether it may
+        still be written. The connection is closed or idle in the pool before the result is returned, so that
+        nothing is on the wire beside the next attempt."""
+        if address is None:
             return Ending.NO_ADDRESS, None
-        connection, keep = self.pool.take(upstream, dial), False
-        fresh = connection is None
-        if connection is None and (connection := self.pool.open(upstream, dial)) is None:
+        connection, keep = self.pool.take_idle(upstream, address), False
+        is_new = connection is None
+        if connection is None and (connection := self.pool.open(upstream, address)) is None:
             return Ending.NO_DESCRIPTOR, None
         try:
-            if fresh and (ending := (yield from self.bring_up(connection, until))) is not None:
+            if is_new and (ending := (yield from self.connect_upstream(connection, deadline))) is not None:
                 return ending, None
-            # Guards against a drain that was told while the connection came up: a send counts from its first
-            # byte, not from the choice, and 250 ms lay between them.
-            # In a long turn, as with little of a core, the list may have changed since the look.
-            while self.clock() - self.pool.loop.looked > self.LOOKED and self.news() and self.clock() < until:
+            # A drain may have been announced while the connection came up, which took up to 250 ms: what
+            # counts is the first byte written, not the choice of the upstream. In a long turn of the loop,
+            # as with a small share of a core, the list may also have changed since the last poll.
+            while (
+                self.clock() - self.pool.loop.looked > self.LOOKED and self.news() and self.clock() < deadline
+            ):
                 yield Wait(until=self.clock())
-            if not (begin() and self.may_send(upstream, dial)):
+            if not (may_begin() and self.may_send(upstream, address)):
                 return Ending.WITHDRAWN, None
-            ending = yield from self.write(connection, query, until)
+            ending = yield from self.write_request(connection, query, deadline)
             if ending is not None:
                 return ending, None
-            ending, whole = yield from self.read(connection, until)
-            if whole is None:
-                kept = ending == Ending.BROKE_WRITTEN and not (fresh or connection.side.begun)
-                return (Ending.BROKE_KEPT if kept else ending), None
-            keep = connection.side.reuse()
-            answer = read_answer(*whole)
-            return self.meaning(answer.status, answer.never_ran), answer
+            ending, whole_answer = yield from self.receive_answer(connection, deadline)
+            if whole_answer is None:
+                was_kept = ending == Ending.BROKE_WRITTEN and not (is_new or connection.protocol.begun)
+                return (Ending.BROKE_KEPT if was_kept else ending), None
+            keep = connection.protocol.reuse()
+            answer = read_answer(*whole_answer)
+            return self.classify(answer.status, answer.never_ran), answer
         finally:
             if keep:
-                self.pool.put(connection)
+                self.pool.put_back(connection)
             else:
                 self.pool.close(connection)
 
-    def bring_up(self, connection: Connection, until: int) -> Generator[Wait, int, Ending | None]:
-        within = min(until, self.clock() + self.connect_timeout)
+    def connect_upstream(self, connection: Connection, deadline: int) -> Generator[Wait, int, Ending | None]:
+        """None once the connection is up, otherwise how it ended."""
+        connect_deadline = min(deadline, self.clock() + self.connect_timeout)
         try:
-            up = yield from connect(self.pool.loop, connection.sock, connection.dial, within)
+            up = yield from connect(self.pool.loop, connection.sock, connection.address, connect_deadline)
         except OSError as error:
             return Ending.NO_DESCRIPTOR if error.errno in OUR_LACK else Ending.REFUSED
         return None if up else Ending.NEVER_CAME_UP
 
-    def write(self, connection: Connection, query: Query, until: int) -> Generator[Wait, int, Ending | None]:
-        headers = query.headers_for(until - self.clock())
-        data = connection.side.request(query.method, query.target, headers, query.body)
+    def write_request(
+        self, connection: Connection, query: Query, deadline: int
+    ) -> Generator[Wait, int, Ending | None]:
+        """None once the last byte is written, otherwise how the connection ended."""
+        headers = query.headers_for(deadline - self.clock())
+        data = connection.protocol.request(query.method, query.target, headers, query.body)
         try:
-            written = yield from write(connection.sock, data, until)
+            written = yield from write(connection.sock, data, deadline)
         except OSError:
             return Ending.BROKE_UNWRITTEN
         return None if written else Ending.TIME_UP_UNWRITTEN
 
-    def read(
-        self, connection: Connection, until: int
+    def receive_answer(
+        self, connection: Connection, deadline: int
     ) -> Generator[Wait, int, tuple[Ending, WholeAnswer | None]]:
-        held = 0
+        counted = 0  # bytes of this answer that are in `body_bytes`
         try:
             while True:
-                data = yield from read(connection.sock, until)
+                data = yield from read(connection.sock, deadline)
                 if data is None:
                     return Ending.TIME_UP, None
-                if (whole := connection.side.feed(data)) is not None:
-                    return Ending.ANSWERED, whole
+                if (whole_answer := connection.protocol.feed(data)) is not None:
+                    return Ending.ANSWERED, whole_answer
                 if not data:
                     return Ending.BROKE_WRITTEN, None
-                self.bodies, held = self.bodies + connection.side.held - held, connection.side.held
-                if self.bodies > self.most_bodies:  # many large ones at once must not end the process
-                    raise Malformed("there is no room for the body beside others")
+                self.body_bytes, counted = (
+                    self.body_bytes + connection.protocol.held - counted, connection.protocol.held
+                )  # fmt: skip
+                if self.body_bytes > self.max_body_bytes:  # many large bodies must not exhaust memory
+                    raise Malformed("the bodies being received exceed the memory limit")
         except OSError:
             return Ending.BROKE_WRITTEN, None
         except Malformed as error:
-            log.debug("answer malformed", extra={"upstream": connection.upstream, "reason": str(error)})
+            log.debug("malformed answer", extra={"upstream": connection.upstream, "reason": str(error)})
             return (Ending.MALFORMED if data else Ending.BROKE_WRITTEN), None
         finally:
-            self.bodies -= held
+            self.body_bytes -= counted
--- a/maddercart/sidecar/endings.py
+++ b/maddercart/sidecar/endings.py
@@ -1,4 +1,4 @@
-"""How a dispatch's connection can end, and what that means to the module."""
+"""How a dispatch can end, and the outcome that the balancer is told for each ending."""
 
 from enum import Enum, auto
 from typing import Final
@@ -7,27 +7,33 @@
 
 
 class Ending(Enum):
-    NO_ADDRESS = auto()  # the upstream has left the list meanwhile
-    NO_DESCRIPTOR = auto()  # no socket, port or buffer of ours is left for a further connection
-    WITHDRAWN = auto()  # told to drain, gone or moved before the first byte was written
+    """How a dispatch ended. Members up to TIME_UP_UNWRITTEN, and TURNED_AWAY, mean that the query never
+    ran."""
+
+    NO_ADDRESS = auto()  # the upstream has left the list since it was chosen
+    NO_DESCRIPTOR = auto()  # no local socket, port or buffer was left for a new connection
+    WITHDRAWN = auto()  # the upstream drained, left or moved before the first byte was written
     REFUSED = auto()  # the connection was refused
-    NEVER_CAME_UP = auto()  # within the time for that or within the dispatch's own
-    BROKE_UNWRITTEN = auto()  # before the request's last byte was written
-    TIME_UP_UNWRITTEN = auto()  # the time was up before that
-    BROKE_KEPT = auto()  # after it, with nothing come back, on a connection that had been kept
-    BROKE_WRITTEN = auto()  # after it, with no whole answer, or on a connection of its own
-    MALFORMED = auto()  # what came back is no answer, or over the limit
+    NEVER_CAME_UP = auto()  # not connected within the connect timeout or the dispatch's own limit
+    BROKE_UNWRITTEN = auto()  # the connection broke before the last byte of the request was written
+    TIME_UP_UNWRITTEN = auto()  # the limit passed before the last byte of the request was written
+    BROKE_KEPT = auto()  # a reused connection broke after the request, before any byte of an answer
+    BROKE_WRITTEN = (
+        auto()
+    )  # broke after the request without a whole answer: a new connection, or part had come
+    MALFORMED = auto()  # the answer is not valid HTTP, or is over a size limit
     ANSWERED = auto()  # 200 and a whole body
-    TURNED_AWAY = auto()  # 503 or 504, and it says that it never ran
+    TURNED_AWAY = auto()  # 503 or 504, and the answer says that the query never ran
     FAILED = auto()  # any other status: it may have run
-    TIME_UP = auto()  # nothing came in time
-    CLOSED_BY_US = auto()  # the module did not want it any more
-    FAULT = auto()  # our own code failed on it
+    TIME_UP = auto()  # no whole answer came within the limit
+    CLOSED_BY_US = auto()  # the balancer cancelled the dispatch
+    FAULT = auto()  # an exception in the sidecar's own code
 
 
-# What is not known never to have run may have run: all but the first seven and TURNED_AWAY. What was not
-# tried (the first three) is MOOT, which the module holds against no upstream; nor does it a kept connection
-# that broke: upstreams and what is between close those at any time, and one that has died refuses a new one.
+# A query may have run unless it is known never to have run: see `Ending`. What was not tried (the first
+# three) is MOOT, which the balancer holds against no upstream. Nor does it hold a reused connection that
+# broke against the upstream: upstreams and the network between close those at any time, and an upstream
+# that has died refuses a new connection.
 OUTCOMES: Final = {
     Ending.NO_ADDRESS: MOOT,
     Ending.NO_DESCRIPTOR: MOOT,
@@ -48,7 +54,8 @@
 }
 
 
-def of_status(status: int, never_ran: bool) -> Ending:
+def ending_of_status(status: int, never_ran: bool) -> Ending:
+    """The ending for a whole answer; `never_ran`: the answer says that the query never ran."""
     if status == 200:
         return Ending.ANSWERED
     return Ending.TURNED_AWAY if never_ran and status in (503, 504) else Ending.FAILED
--- a/maddercart/sidecar/fronts.py
+++ b/maddercart/sidecar/fronts.py
@@ -1,5 +1,5 @@
-"""Fronts: what turns a request into a query for some pool's decisions, or into an answer. Connections, their
-limits and their ends are `applications.py`'s, whatever the front."""
+"""Fronts turn a request into a query for a pool's `BalancerDriver`, or answer it at once. `applications.py`
+handles the connections, with their limits and shutdown, for all fronts."""
 
 import socket
 from collections.abc import Callable, Mapping
@@ -9,13 +9,13 @@
 from maddercart.http.application import Request
 from maddercart.messages.answer import Reply
 from maddercart.messages.query import Query, UnfitQuery, read_query
-from maddercart.sidecar.decisions import Decisions
+from maddercart.sidecar.decisions import BalancerDriver
 
 READY_PATH = b"/-/ready"
 
 
 class Unfit(NamedTuple):
-    """The request is at fault: counted, and answered with this status."""
+    """The request is invalid: it is counted and answered with this status, and `reason` as the body."""
 
     status: int
     reason: str
@@ -23,27 +23,29 @@
 
 @dataclass(slots=True)
 class Opened:
-    """A query, and the desk that takes it."""
+    """A query and the driver that takes it."""
 
     query: Query
-    desk: Decisions
+    driver: BalancerDriver
 
 
 class Front(Protocol):
     def receive(self, request: Request, sock: socket.socket, stopping: bool) -> "Opened | Reply | Unfit":
-        """What to do with a whole request; never raises for what a client sends."""
+        """Handles a whole request: a query to take, an answer, or a rejection. Raises nothing for bad
+        input."""
 
     def over(self, opened: Opened) -> None:
-        """Its connection waits for it no more: it was answered, or the client has gone."""
+        """Called once the connection no longer waits: the query was answered, or the client has gone."""
 
 
 class PlatformFront:
-    """The platform's requests: the path's first segment names the offering, headers give time and id."""
+    """Reads the platform's requests: the first path segment names the offering; headers give the trace id
+    and how long the client waits."""
 
-    def __init__(self, desk: Decisions, ready: Callable[[], bool]) -> None:
-        self.desk, self.ready = desk, ready
-        self.offerings: Mapping[str, int] = {}
-        self.traces: set[bytes] = set()  # the ids of the queries that are held
+    def __init__(self, driver: BalancerDriver, ready: Callable[[], bool]) -> None:
+        self.driver, self.ready = driver, ready
+        self.offerings: Mapping[str, int] = {}  # index in the settings by name
+        self.traces: set[bytes] = set()  # trace ids of held queries
 
     def receive(self, request: Request, sock: socket.socket, stopping: bool) -> "Opened | Reply | Unfit":
         if request.target.partition(b"?")[0] == READY_PATH:
@@ -53,10 +55,10 @@
             query = read_query(*request, self.offerings)
         except UnfitQuery as error:
             return Unfit(error.status, str(error))
-        if query.trace in self.traces:  # an answer to either would be taken for the other's
+        if query.trace in self.traces:  # the answers could be mixed up
             return Unfit(409, "X-Trace-Id is that of a query that is held")
         self.traces.add(query.trace)
-        return Opened(query, self.desk)
+        return Opened(query, self.driver)
 
     def over(self, opened: Opened) -> None:
         self.traces.discard(opened.query.trace)
--- a/maddercart/sidecar/node.py
+++ b/maddercart/sidecar/node.py
@@ -1,4 +1,4 @@
-"""One sidecar, put together from its configuration."""
+"""The sidecar process, assembled from its configuration."""
 
 import gc
 import logging
@@ -29,20 +29,23 @@
 
 RESERVE = 32  # descriptors for the listener, discovery, epoll, signals, the log and what Python opens
 MEGABYTE = 1 << 20
-# Of the memory for bodies that are coming in: a copy of each goes out, and the program needs its own 30 MB.
+# Share of the memory limit for bodies being received: each is copied once to be sent, and the program
+# itself needs 30 MB.
 BODIES = 0.15
 COUNTS_EVERY = 10 * SECOND
-READ_TRIES, READ_AGAIN = 10, 100 * MILLISECOND  # at a new configuration that can't be read for a moment
-# Where lists are pushed, what the agent has counts as told from a process's first moment: nothing is sent
-# before its first word. What comes meanwhile waits that long before it is bounced: an agent takes less.
-# Without a word at all the list last known is gone by: discovery that is down must not keep a start from
-# being ready, for which there are 30 s.
+# Retries of a new configuration file that can't be read at the moment.
+CONFIG_READ_ATTEMPTS, CONFIG_RETRY_NS = 10, 100 * MILLISECOND
+# Where lists are pushed, the list that the agent holds counts as told from the start of the process, so
+# nothing is sent before its first message. Connections wait FIRST_WORD to be accepted, after which queries
+# are bounced; an agent takes less time. Without any message the last known list is used after WITHOUT_WORD:
+# a start must be ready within 30 s even if discovery is down.
 FIRST_WORD, WITHOUT_WORD = 100 * MILLISECOND, 20 * SECOND
 
 
 class Node:
     def __init__(self, config: Config, again: Callable[[], Config], loop: Loop | None = None) -> None:
-        """`again` reads the configuration anew; raises `OSError` or `ValueError` if it can't be used."""
+        """`again` reads the configuration anew; it raises `OSError` if the file can't be read, `ValueError`
+        if the configuration is invalid."""
         self.loop = loop or retry_lack(lambda: Loop(Clock()))
         settings, clock = config.settings, self.loop.clock
         self.config, self.again = config, again
@@ -57,7 +60,8 @@
             self.loop, clock, address(config.discovery), self.upstreams, self.learn, self.list_failed
         )  # fmt: skip
         self.backing.dispatcher.news = self.discovery.news
-        self.unsaid: Listing | None = None  # the list last known, not gone by before discovery's first word
+        # The last known list while the first from discovery is awaited.
+        self.unconfirmed: Listing | None = None
         self.peers: Peers | None = None
         if peering(config):
             self.peers = Peers(
@@ -75,13 +79,13 @@
         self.front = PlatformFront(self.decisions, self.backing.ready)
         self.applications = Applications(self.loop, clock, self.front, self.decisions.counts)
         self.wall_clock = WallClock()
-        self.read_tries = 0  # at a configuration that could not be read
-        self.longest = 0
-        self.limit(config)
+        self.read_attempts = 0  # failed in a row
+        self.longest = 0  # the longest hard stop of all settings so far, in nanoseconds
+        self.apply_limits(config)
         self.listener = retry_lack(lambda: listen(address(config.listen), machine=self.loop.machine))
 
-    def limit(self, config: Config) -> None:
-        """What may change under load."""
+    def apply_limits(self, config: Config) -> None:
+        """Applies limits and offering names, which may change while queries are held."""
         limits = config.settings.limits
         free = max(2, min(config.limits.sockets, getrlimit(RLIMIT_NOFILE)[0]) - RESERVE)
         self.applications.most = free // 2
@@ -91,41 +95,45 @@
             nanos("limits.connect_timeout", limits.connect_timeout),
         )  # fmt: skip
         offerings = config.settings.offerings
-        self.front.offerings = {terms.name: place for place, terms in enumerate(offerings)}
-        # What is held may have been taken under a longer hard stop than the new settings have.
+        self.front.offerings = {terms.name: number for number, terms in enumerate(offerings)}
+        # A held query may have been taken under a longer hard stop than the new settings have.
         self.longest = max(self.longest, *(nanos("hard_stop", terms.hard_stop) for terms in offerings))
 
     def renew(self) -> None:
-        """SIGHUP: a new configuration is followed as far as that goes while queries are held."""
+        """Reloads the configuration on SIGHUP, except for `name` and `listen`, which need a restart. A
+        configuration that can't be used is logged and changes nothing."""
         try:
             config = self.again()
         except OSError as error:
-            self.read_failed(error)
+            self.config_read_failed(error)
             return
         except ValueError as error:
-            log.error("new configuration can't be used", extra={"reason": str(error)})
+            log.error("new configuration rejected", extra={"reason": str(error)})
             return
-        self.read_tries = 0
-        wants = [name for name in ("name", "listen") if getattr(config, name) != getattr(self.config, name)]
-        log.info("configuration read again", extra={"wants_a_restart": ",".join(wants)} if wants else {})
+        self.read_attempts = 0
+        restart_for = [
+            name for name in ("name", "listen") if getattr(config, name) != getattr(self.config, name)
+        ]
+        log.info(
+            "configuration reloaded", extra={"wants_a_restart": ",".join(restart_for)} if restart_for else {}
+        )
         former, self.config = self.config, replace(config, name=self.config.name, listen=self.config.listen)
-        self.limit(config)
+        self.apply_limits(config)
         if config.settings != former.settings:
-            self.switch(config)
+            self.switch_settings(config)
         self.discovery.move(address(config.discovery))
 
-    def read_failed(self, error: OSError) -> None:
-        """A file that can't be read for a moment is read again: it may name another discovery."""
-        self.read_tries += 1
-        if self.read_tries < READ_TRIES:
-            self.loop.at(self.clock() + READ_AGAIN, self.renew)
+    def config_read_failed(self, error: OSError) -> None:
+        """Retries later: the failure may be temporary, and the file may name another discovery service."""
+        self.read_attempts += 1
+        if self.read_attempts < CONFIG_READ_ATTEMPTS:
+            self.loop.at(self.clock() + CONFIG_RETRY_NS, self.renew)
         else:
-            log.error("new configuration can't be used", extra={"reason": str(error)})
-            self.read_tries = 0
+            log.error("new configuration rejected", extra={"reason": str(error)})
+            self.read_attempts = 0
 
-    def switch(self, config: Config) -> None:
-        """All that goes by an offering's, a zone's or a kind's number changes in this one turn. The way back
-        is the same step."""
+    def switch_settings(self, config: Config) -> None:
+        """See `Backing.switch`."""
         settings = config.settings
         if self.backing.switch(settings.zones, settings.kinds, arguments(config)):
             self.discovery.begin_anew()
@@ -137,44 +145,48 @@
         self.start()
         await_signals(self.loop, self.stop, self.renew)
         gc.collect()
-        gc.freeze()  # what is there from the start need not be looked through again
+        gc.freeze()  # objects from the start need no further garbage collection
         if self.config.settings.limits.probing:
-            log.warning("the settings allow probes, and this protocol has none")
-        at = "{}:{}".format(*self.listener.getsockname())
-        log.info("serving", extra={"listen": at, "upstreams": len(self.upstreams.ready)})
+            log.warning("the settings allow probes, but this protocol has none")
+        listen_address = "{}:{}".format(*self.listener.getsockname())
+        log.info("serving", extra={"listen": listen_address, "upstreams": len(self.upstreams.ready)})
         self.loop.run()
         log.info("stopped", extra=self.figures())
 
     def start(self) -> None:
-        """The list last known comes before any query."""
+        """Starts serving. The last known list is applied before any query is taken, unless lists are
+        pushed."""
         if self.config.settings.discovery == "push":
-            self.unsaid, self.upstreams.version = self.config.known, self.config.known.seq
-            self.loop.at(self.clock() + FIRST_WORD, self.accept)
-            self.loop.at(self.clock() + WITHOUT_WORD, self.go_by_known)
+            self.unconfirmed, self.upstreams.version = self.config.known, self.config.known.seq
+            self.loop.at(self.clock() + FIRST_WORD, self.start_accepting)
+            self.loop.at(self.clock() + WITHOUT_WORD, self.use_known_list)
             self.discovery.follow()
         else:
             self.backing.learn([self.config.known])
-            self.accept()
+            self.start_accepting()
         if self.peers is not None:
             self.peers.ask()
-        self.loop.spawn(self.tell())
+        self.loop.spawn(self.log_counts())
         self.loop.spawn(self.pool.sweep())
 
-    def accept(self) -> None:
+    def start_accepting(self) -> None:
         if self.applications.acceptor is None and not self.applications.stopping:
             self.applications.acceptor = self.loop.spawn(self.applications.accept_from(self.listener))
 
-    def go_by_known(self) -> None:
-        if self.unsaid is not None:
-            log.warning("no word of discovery, going by the list last known", extra={"seq": self.unsaid.seq})
-            known, self.unsaid = self.unsaid, None
+    def use_known_list(self) -> None:
+        if self.unconfirmed is not None:
+            log.warning(
+                "nothing received from discovery; using the last known list",
+                extra={"seq": self.unconfirmed.seq},
+            )
+            known, self.unconfirmed = self.unconfirmed, None
             self.backing.learn([known])
 
     def learn(self, listings: Sequence[Listing]) -> None:
-        """From discovery; the first time what it tells is a change of what was last known."""
-        known, self.unsaid = self.unsaid, None
+        """Applies listings from discovery. The first may only hold changes to the last known list."""
+        known, self.unconfirmed = self.unconfirmed, None
         self.backing.learn([known, *listings] if known is not None else listings)
-        self.accept()
+        self.start_accepting()
         if self.peers is not None:
             self.peers.follows(True)
 
@@ -184,14 +196,15 @@
         self.backing.list_failed(left)
 
     def stop(self) -> None:
-        stopping = stop(self.loop, self.clock, self.listener, self.applications, self.longest, self.leave)
+        """Begins the graceful shutdown; `run` returns once it is complete."""
+        stopping = stop(self.loop, self.clock, self.listener, self.applications, self.longest, self.stop_loop)
         self.loop.spawn(stopping)
 
-    def leave(self) -> None:
+    def stop_loop(self) -> None:
         self.loop.stopped = True
 
-    def tell(self) -> Coroutine:
-        """A line of counts now and then, while there is something to count."""
+    def log_counts(self) -> Coroutine:
+        """Logs the counts at intervals, unless nothing was counted."""
         while True:
             yield Wait(until=self.clock() + COUNTS_EVERY)
             self.wall_clock.check()
@@ -206,5 +219,5 @@
             "p50_ms": self.decisions.times.get_value_at_percentile(50),
             "p99_ms": self.decisions.times.get_value_at_percentile(99),
             "held": len(self.decisions.held), "out": len(self.decisions.out),
-            "connections": len(self.applications.open), "to_upstreams": self.pool.count,
+            "connections": len(self.applications.connections), "to_upstreams": self.pool.count,
         }  # fmt: skip
--- a/maddercart/sidecar/pool.py
+++ b/maddercart/sidecar/pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: idle ones are kept a while for the next dispatch."""
+"""The pool of connections to upstreams; idle connections are kept for a while for the next dispatch."""
 
 import socket
 from collections import defaultdict
@@ -9,19 +9,20 @@
 from maddercart.net.loop import Coroutine, Loop, Wait
 from maddercart.net.sockets import close
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # IPv4 address, port
 
 
 class Connection:
-    __slots__ = ("dial", "side", "since", "sock", "upstream")
+    __slots__ = ("address", "idle_since", "protocol", "sock", "upstream")
 
-    def __init__(self, upstream: int, dial: Address, sock: socket.socket, most_body: int) -> None:
-        self.upstream, self.dial, self.sock = upstream, dial, sock
-        self.side = UpstreamSide(most_body)
-        self.since = 0  # idle
+    def __init__(self, upstream: int, address: Address, sock: socket.socket, max_body: int) -> None:
+        self.upstream, self.address, self.sock = upstream, address, sock
+        self.protocol = UpstreamSide(max_body)
+        self.idle_since = 0
 
-    def sound(self) -> bool:
-        """A spare connection that has something to read is at its end: nothing was asked."""
+    def is_usable(self) -> bool:
+        """Whether an idle connection can carry a request. One that is readable has ended: nothing was
+        asked."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -31,58 +32,62 @@
         return False
 
 
-class Pool:
-    """At most `most` connections, used and idle together."""
+class ConnectionPool:
+    """Holds at most `max_connections` connections, active and idle together."""
 
-    # Of the time after which an upstream closes an idle one: what is sent while it does so ends as a reset.
-    KEPT = 0.7
-    SWEEP_EVERY = SECOND  # for those that have grown old: well under what is left of that time
+    # Share of the time after which an upstream closes an idle connection. A request sent while it does so
+    # would end as a reset.
+    KEEP_SHARE = 0.7
+    SWEEP_INTERVAL_NS = SECOND  # well under the remaining share of that time
 
-    def __init__(self, loop: Loop, clock: Callable[[], int], wanted: Container[int]) -> None:
+    def __init__(self, loop: Loop, clock: Callable[[], int], ready: Container[int]) -> None:
+        """`ready`: the upstreams that may get new queries; it may change later."""
         self.loop, self.clock = loop, clock
-        self.most, self.kept_for, self.most_body = 1, 0, 0
-        self.wanted = wanted  # upstreams that may get something new
-        self.idle: defaultdict[int, list[Connection]] = defaultdict(list)  # the last used one last
-        self.count = 0
-
-    def close_after(self, idle_close: int) -> None:
-        self.kept_for = int(idle_close * self.KEPT)
-
-    def take(self, upstream: int, dial: Address) -> Connection | None:
-        """An idle one that is sound, the last used first: the others grow old and go."""
-        while spare := self.idle[upstream]:
-            connection = spare.pop()
+        self.max_connections, self.idle_timeout, self.most_body = 1, 0, 0  # most_body: bytes of an answer
+        self.ready = ready
+        self.idle: defaultdict[int, list[Connection]] = defaultdict(list)  # by upstream, last used at the end
+        self.count = 0  # active and idle
+
+    def set_idle_close(self, idle_close: int) -> None:
+        """`idle_close`: the time after which upstreams close an idle connection, in nanoseconds."""
+        self.idle_timeout = int(idle_close * self.KEEP_SHARE)
+
+    def take_idle(self, upstream: int, address: Address) -> Connection | None:
+        """A usable idle connection, the last used first, so that surplus ones age and are closed."""
+        while idle := self.idle[upstream]:
+            connection = idle.pop()
             self.loop.rouse(connection.sock.fileno())
-            if connection.dial == dial and connection.sound():
+            if connection.address == address and connection.is_usable():
                 return connection
             self.close(connection)
         return None
 
-    def open(self, upstream: int, dial: Address) -> Connection | None:
-        """A new one, not connected yet; None if no descriptor is to be had."""
-        if self.count >= self.most:
-            self.drop_oldest()
-        if self.count >= self.most:
+    def open(self, upstream: int, address: Address) -> Connection | None:
+        """A new connection that is not connected yet; None if the pool is full or no descriptor is left."""
+        if self.count >= self.max_connections:
+            self.close_oldest()
+        if self.count >= self.max_connections:
             return None
         try:
             sock = self.loop.machine.tcp()
         except OSError:
             return None
         self.count += 1
-        return Connection(upstream, dial, sock, self.most_body)
+        return Connection(upstream, address, sock, self.most_body)
 
-    def put(self, connection: Connection) -> None:
-        if connection.upstream not in self.wanted:
+    def put_back(self, connection: Connection) -> None:
+        """Keeps a connection as idle, or closes it if its upstream gets no new queries."""
+        if connection.upstream not in self.ready:
             return self.close(connection)
         try:
-            self.loop.rest(connection.sock.fileno(), lambda: self.drop(connection))
-        except OSError:  # epoll has no room for it
+            self.loop.rest(connection.sock.fileno(), lambda: self.close_idle(connection))
+        except OSError:  # epoll can't register it
             return self.close(connection)
         self.idle[connection.upstream].append(connection)
-        connection.since = self.clock()
+        connection.idle_since = self.clock()
 
-    def drop(self, connection: Connection) -> None:
-        """An idle one that has something to read, or is too old."""
+    def close_idle(self, connection: Connection) -> None:
+        """Closes an idle connection that became readable or is too old."""
         self.idle[connection.upstream].remove(connection)
         self.close(connection)
 
@@ -92,19 +97,20 @@
             close(self.loop, connection.sock)
 
     def sweep(self) -> Coroutine:
+        """Closes connections that have been idle for longer than `idle_timeout`; runs until it is ended."""
         while True:
-            yield Wait(until=self.clock() + self.SWEEP_EVERY)
-            before = self.clock() - self.kept_for
-            for spare in self.idle.values():
-                while spare and spare[0].since <= before:
-                    self.drop(spare[0])
+            yield Wait(until=self.clock() + self.SWEEP_INTERVAL_NS)
+            oldest_kept = self.clock() - self.idle_timeout
+            for idle in self.idle.values():
+                while idle and idle[0].idle_since <= oldest_kept:
+                    self.close_idle(idle[0])
 
     def drop_unwanted(self) -> None:
-        """The spare ones of upstreams that get nothing new."""
-        for upstream in [upstream for upstream in self.idle if upstream not in self.wanted]:
+        """Closes the idle connections of upstreams that get no new queries."""
+        for upstream in [upstream for upstream in self.idle if upstream not in self.ready]:
             for connection in self.idle.pop(upstream):
                 self.close(connection)
 
-    def drop_oldest(self) -> None:
-        if oldest := [spare[0] for spare in self.idle.values() if spare]:
-            self.drop(min(oldest, key=lambda connection: connection.since))
+    def close_oldest(self) -> None:
+        if oldest := [idle[0] for idle in self.idle.values() if idle]:
+            self.close_idle(min(oldest, key=lambda connection: connection.idle_since))
--- a/maddercart/sidecar/stopping.py
+++ b/maddercart/sidecar/stopping.py
@@ -1,4 +1,4 @@
-"""SIGTERM: what was taken is answered, connections come to their end, and the sidecar leaves."""
+"""Graceful shutdown on SIGTERM: queries that were taken are answered, then the connections are closed."""
 
 import logging
 import socket
@@ -11,47 +11,53 @@
 
 log = logging.getLogger(__name__)
 
-# Connections go on coming for up to 0.4 s after the signal, and SIGKILL comes 0.7 s and the longest hard stop
-# after it: what is taken within this time is still answered in time.
-ACCEPT_FOR = SECOND // 2
-LOOK_EVERY = 5 * MILLISECOND
-SPARE = SECOND // 10  # over the longest hard stop, for what is still being written
-WRITTEN_WITHIN = 50 * MILLISECOND  # before it leaves, the last answer is given; a slow request may come late
-ACCEPT_REST = SECOND // 10  # for connections that can't be accepted at once, as descriptors have run out
+# New connections arrive for up to 0.4 s after SIGTERM, and SIGKILL follows 0.7 s plus the longest hard stop
+# after it: a query taken within this time is still answered before that.
+ACCEPT_FOR_NS = SECOND // 2
+POLL_INTERVAL_NS = 5 * MILLISECOND
+WRITE_MARGIN_NS = SECOND // 10  # on top of the longest hard stop, for answers that are still being written
+# Queries are answered this long before the process exits, also those of requests that arrive slowly.
+LAST_ANSWER_MARGIN_NS = 50 * MILLISECOND
+BACKLOG_TIMEOUT_NS = SECOND // 10  # for the connections left in the backlog while descriptors have run out
 
 
 def stop(
     loop: Loop, clock: Callable[[], int], listener: socket.socket, applications: Applications,
-    longest: int, leave: Callable[[], None],
+    longest_hard_stop: int, on_stopped: Callable[[], None],
 ) -> Coroutine:  # fmt: skip
-    log.info("stopping", extra={"connections": len(applications.open)})
+    """Stops one listener: accepts for a while longer, answers what was taken, closes all connections and
+    calls `on_stopped`. `longest_hard_stop` is in nanoseconds."""
+    log.info("stopping", extra={"connections": len(applications.connections)})
     applications.stopping = True
     began = clock()
-    last = began + ACCEPT_FOR + longest + SPARE
-    applications.answer_by = last - WRITTEN_WITHIN
-    yield Wait(until=began + ACCEPT_FOR)
+    deadline = began + ACCEPT_FOR_NS + longest_hard_stop + WRITE_MARGIN_NS
+    applications.answer_deadline = deadline - LAST_ANSWER_MARGIN_NS
+    yield Wait(until=began + ACCEPT_FOR_NS)
     if applications.acceptor is not None:
         loop.end(applications.acceptor)
     loop.forget(listener.fileno())
-    yield from accept_rest(clock, listener, applications)
-    listener.close()  # at once: what comes between is reset
-    while applications.open and clock() < last:
+    yield from accept_backlog(clock, listener, applications)
+    listener.close()  # right after the last accept: connections that arrive in between are reset
+    while applications.connections and clock() < deadline:
         applications.close_idle()
-        yield Wait(until=clock() + LOOK_EVERY)
-    if applications.open:
-        log.warning("connections left at the end", extra=applications.phase_counts())
-    leave()
-
-
-def accept_rest(clock: Callable[[], int], listener: socket.socket, applications: Applications) -> Coroutine:
-    """What the machine has accepted may hold queries already: closing the listener would lose them."""
-    until = clock() + ACCEPT_REST
+        yield Wait(until=clock() + POLL_INTERVAL_NS)
+    if applications.connections:
+        log.warning("connections still open at exit", extra=applications.phase_counts())
+    on_stopped()
+
+
+def accept_backlog(
+    clock: Callable[[], int], listener: socket.socket, applications: Applications
+) -> Coroutine:
+    """Accepts the connections in the listener's backlog. They may already hold queries, which would be lost
+    with the listener."""
+    deadline = clock() + BACKLOG_TIMEOUT_NS
     while True:
         try:
-            if applications.accept_some(listener, BACKLOG) or clock() >= until:
+            if applications.accept_some(listener, BACKLOG) or clock() >= deadline:
                 return
         except OSError as error:
             log.warning("connections can't be accepted", extra={"reason": str(error)})
-            if clock() >= until:
+            if clock() >= deadline:
                 return
-        yield Wait(until=clock() + LOOK_EVERY)
+        yield Wait(until=clock() + POLL_INTERVAL_NS)
--- a/maddercart/sidecar/upstreams.py
+++ b/maddercart/sidecar/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams of the list: their numbers, and where each is dialled."""
+"""The upstreams of the list: their numbers, names, addresses and conditions."""
 
 import ipaddress
 import logging
@@ -14,17 +14,20 @@
 
 log = logging.getLogger(__name__)
 
-GONE_KEPT = 4096  # upstreams that have gone: a release of half as many can still be told to a start
-CONDITIONS = {"SERVING": READY, "DRAINING": DRAINING, "DELETED": GONE}
+# Entries of upstreams that have left. When the limit is passed half of it is kept, so that a whole release
+# can still be told to a sidecar that starts.
+MAX_GONE_KEPT = 4096
+CONDITIONS = {"SERVING": READY, "DRAINING": DRAINING, "DELETED": GONE}  # by the list's health
 
 
 def number_of(host: str) -> int:
-    """Alike in every sidecar: own sets and the cold ring rest on it. 64 bits: no two of a fleet share one."""
+    """The number of an upstream, from its name. It is the same in every sidecar: subsets and the ring for
+    cold upstreams depend on it. 64 bits make collisions within a fleet improbable."""
     return int.from_bytes(blake2b(host.encode(), digest_size=8).digest(), "big")
 
 
-def stamp_of(line: object) -> int:
-    """The start that a line tells, `LONG_AGO` if it tells none that can be read."""
+def start_stamp_ms(line: object) -> int:
+    """The start time of a line of the list, `LONG_AGO` if it has none that can be read."""
     stamp = line.get("born_ms") if isinstance(line, dict) else None
     return whole_stamp(stamp) if isinstance(stamp, int | float) else LONG_AGO
 
@@ -32,90 +35,109 @@
 class Upstreams:
     def __init__(self, clock: Callable[[], int], zones: Sequence[str], kinds: Sequence[str]) -> None:
         self.starts = StartTimes(clock)
-        self.learnt = 0  # listings
-        self.zones: dict[str, int] = {}
-        self.kinds: dict[str, int] = {}
-        self.place(zones, kinds)
-        self.names: dict[int, str] = {}
-        self.dials: dict[int, tuple[str, int]] = {}  # of those that are listed, drains among them
+        self.listing_count = 0  # listings applied so far
+        self.zones: dict[str, int] = {}  # number by name
+        self.kinds: dict[str, int] = {}  # number by name
+        self.renumber(zones, kinds)
+        self.names: dict[int, str] = {}  # by upstream
+        self.addresses: dict[int, tuple[str, int]] = {}  # of listed upstreams, draining ones included
         self.ready: set[int] = set()
-        self.closed: set[int] = set()  # by the word of other sidecars, until discovery speaks
+        self.closed_by_peers: set[int] = set()  # on the word of other sidecars, until the next listing
         self.version: int | None = None  # None: the whole list must be asked for
-        self.entries: dict[int, Entry] = {}  # as the list last told each, what has gone among them
-        self.changed: dict[int, int] = {}  # in which version that was, the latest last
-        self.logged: set[str] = set()
-
-    def place(self, zones: Sequence[str], kinds: Sequence[str]) -> tuple[list[int], list[int]]:
-        """From now on zones and kinds have these numbers. What each former one is now; -1: no zone now."""
+        self.entries: dict[int, Entry] = {}  # the last one of each upstream, those that have left included
+        # The version in which each upstream last changed; the latest change is at the end.
+        self.change_versions: dict[int, int] = {}
+        self.logged_reasons: set[str] = set()
+
+    def renumber(self, zones: Sequence[str], kinds: Sequence[str]) -> tuple[list[int], list[int]]:
+        """Numbers zones and kinds by their order from now on. Returns the new number of each former zone
+        (-1 if it no longer exists) and of each former kind; the last item is the number for unknown
+        kinds."""
         former, former_kinds = self.zones, self.kinds
-        self.zones = {name: place for place, name in enumerate(zones)}
-        self.kinds = {name: place for place, name in enumerate(kinds)}
-        unknown = len(self.kinds)  # the number of any kind that has no name here
+        self.zones = {name: number for number, name in enumerate(zones)}
+        self.kinds = {name: number for number, name in enumerate(kinds)}
+        unknown = len(self.kinds)  # the number of any kind that the settings don't name
         return (
             [self.zones.get(name, -1) for name in former],
             [*(self.kinds.get(name, unknown) for name in former_kinds), unknown],
         )
 
     def learn(self, listing: Listing) -> list[Entry]:
-        """The lines that can be read. Another is logged once, and its upstream closed if it can be told."""
+        """Applies a listing and returns the entries of its readable lines. Each reason why a line can't be
+        read is logged once; the upstream of such a line is closed if the line names it."""
         self.version = listing.seq
-        self.closed.clear()
+        self.closed_by_peers.clear()
         if listing.whole:
             self.names.clear()
-            self.dials.clear()
+            self.addresses.clear()
             self.ready.clear()
-        # What a change tells has just happened; the first lists tell of starts some time ago as well.
-        several = listing.whole or self.learnt <= 1
-        passed = reference(map(stamp_of, listing.hosts)) if several else LONG_AGO
-        self.learnt += 1
-        entries = [entry for line in listing.hosts if (entry := self.read(line, passed)) is not None]
-        self.remember(listing, entries)
+        # A change tells what has just happened; a whole list and the first two listings also hold older
+        # starts.
+        has_old_starts = listing.whole or self.listing_count <= 1
+        reference_ms = reference(map(start_stamp_ms, listing.hosts)) if has_old_starts else LONG_AGO
+        self.listing_count += 1
+        entries = [
+            entry for line in listing.hosts if (entry := self.read_line(line, reference_ms)) is not None
+        ]
+        self.record_changes(listing, entries)
         return entries
 
     def hear(self, entries: Sequence[Entry]) -> None:
-        """Of other sidecars: it closes what discovery has left open here, and opens that again."""
+        """Applies entries of other sidecars: they close upstreams that discovery has left open, and reopen
+        those that were closed this way."""
         for entry in entries:
-            (self.closed.discard if entry.condition == READY else self.closed.add)(entry.upstream)
-
-    def may_send(self, upstream: int, dial: tuple[str, int]) -> bool:
-        """Whether it may get something new there, by all that was told up to now. Whoever writes a query's
-        first byte asks this."""
-        open_ = upstream in self.ready and upstream not in self.closed
-        return open_ and self.dials.get(upstream) == dial
-
-    def remember(self, listing: Listing, entries: Sequence[Entry]) -> None:
-        """For those who have an older version of it."""
+            (self.closed_by_peers.discard if entry.condition == READY else self.closed_by_peers.add)(
+                entry.upstream
+            )
+
+    def may_send(self, upstream: int, address: tuple[str, int]) -> bool:
+        """Whether an upstream may get a new query at an address, by the list as known now. To be asked just
+        before the first byte of a query is written."""
+        is_open = upstream in self.ready and upstream not in self.closed_by_peers
+        return is_open and self.addresses.get(upstream) == address
+
+    def record_changes(self, listing: Listing, entries: Sequence[Entry]) -> None:
+        """Records which entries changed in this version, for `changed_after`."""
         listed = {entry.upstream for entry in entries}
         left = [e for e in self.entries.values() if e.upstream not in listed] if listing.whole else []
         for entry in [*(e._replace(condition=GONE) for e in left if e.condition != GONE), *entries]:
             if self.entries.get(entry.upstream) != entry:
-                self.changed.pop(entry.upstream, None)
-                self.entries[entry.upstream], self.changed[entry.upstream] = entry, listing.seq
-        for number in list(self.changed) if len(self.changed) > len(self.dials) + GONE_KEPT else ():
-            if number not in self.dials and len(self.changed) > len(self.dials) + GONE_KEPT // 2:
-                del self.changed[number], self.entries[number]
+                self.change_versions.pop(entry.upstream, None)
+                self.entries[entry.upstream], self.change_versions[entry.upstream] = entry, listing.seq
+        for number in (
+            list(self.change_versions)
+            if len(self.change_versions) > len(self.addresses) + MAX_GONE_KEPT
+            else ()
+        ):
+            if (
+                number not in self.addresses
+                and len(self.change_versions) > len(self.addresses) + MAX_GONE_KEPT // 2
+            ):
+                del self.change_versions[number], self.entries[number]
                 self.starts.forget(number)
 
     def changed_after(self, version: int) -> list[tuple[int, int, int]]:
-        """Number, condition, the list's stamp of its start (ms) of what changed later."""
-        late = [self.entries[number] for number, then in self.changed.items() if then > version]
-        return [(entry.upstream, entry.condition, self.starts.stamp_ms(entry.upstream)) for entry in late]
+        """The upstreams that changed after a version: number, condition, the list's start stamp in ms."""
+        changed = [self.entries[number] for number, then in self.change_versions.items() if then > version]
+        return [(entry.upstream, entry.condition, self.starts.stamp_ms(entry.upstream)) for entry in changed]
 
-    def read(self, line: object, passed: int) -> Entry | None:
-        """`passed`: a moment of the list's clock that has passed."""
+    def read_line(self, line: object, reference_ms: int) -> Entry | None:
+        """The entry for a line of a listing, None if the line can't be read and names no known upstream.
+        `reference_ms`: a time by the list's clock that has passed."""
         try:
             host = read_host(line)
-            return self.entry(host, passed)
+            return self.make_entry(host, reference_ms)
         except (msgspec.ValidationError, ValueError, KeyError) as error:
             reason = str(error)
-            if reason not in self.logged and len(self.logged) < 100:  # a bad list must not fill memory
-                self.logged.add(reason)
-                log.warning("list entry passed over", extra={"reason": reason})
-            return self.close(line)
-
-    def close(self, line: object) -> Entry | None:
-        """Guards against a change that can't be read leaving its upstream as it was: nothing new goes there
-        until a line of it can be read."""
+            # The limit keeps a list of bad lines from filling memory.
+            if reason not in self.logged_reasons and len(self.logged_reasons) < 100:
+                self.logged_reasons.add(reason)
+                log.warning("list entry skipped", extra={"reason": reason})
+            return self.close_unreadable(line)
+
+    def close_unreadable(self, line: object) -> Entry | None:
+        """Closes the upstream of a line that can't be read: the change must not leave it as it was. It gets
+        no new queries until one of its lines can be read."""
         host = line.get("host") if isinstance(line, dict) else None
         number = number_of(host) if isinstance(host, str) else 0
         if (known := self.entries.get(number)) is None:
@@ -123,18 +145,19 @@
         self.ready.discard(number)
         return known._replace(condition=DRAINING)
 
-    def entry(self, host: Host, passed: int) -> Entry:
+    def make_entry(self, host: Host, reference_ms: int) -> Entry:
+        """Raises `ValueError` for an unknown health or zone, or an address that isn't IPv4 and port."""
         if host.health not in CONDITIONS or host.site not in self.zones:
             raise ValueError(f"unknown state or zone: {host.health!r}, {host.site!r}")
         number, condition = number_of(host.host), CONDITIONS[host.health]
         if condition == GONE:
             self.names.pop(number, None)
-            self.dials.pop(number, None)
+            self.addresses.pop(number, None)
         else:
-            where, port = address(host.dial)
-            ipaddress.IPv4Address(where)  # a name would be looked up, which blocks
-            self.names[number], self.dials[number] = host.host, (where, port)
+            ip, port = address(host.dial)
+            ipaddress.IPv4Address(ip)  # a host name would need a lookup, which blocks
+            self.names[number], self.addresses[number] = host.host, (ip, port)
         (self.ready.add if condition == READY else self.ready.discard)(number)
         kind = self.kinds.get(host.kind, len(self.kinds))
-        launched = self.starts.listed(number, whole_stamp(host.born_ms), passed)
+        launched = self.starts.listed(number, whole_stamp(host.born_ms), reference_ms)
         return Entry(number, self.zones[host.site], kind, host.block, condition, host.share, launched)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,5 @@
-"""The sidecar on loopback sockets, turned by hand; only the last tests start a process."""
+"""Tests of the sidecar on loopback sockets. The event loop runs in the test; only the last tests start a
+process."""
 
 import json
 import os
@@ -18,9 +19,9 @@
 
 from maddercart import interface as i
 from maddercart.net.loop import Coroutine, Loop, Wait
-from maddercart.sidecar.applications import KEEPS, LONGEST, Phase
+from maddercart.sidecar.applications import EVICTABLE_AFTER_NS, PHASE_TIMEOUTS_NS, Phase
 from maddercart.sidecar.clock import Clock
-from maddercart.sidecar.endings import OUTCOMES, Ending, of_status
+from maddercart.sidecar.endings import OUTCOMES, Ending, ending_of_status
 from maddercart.sidecar.start_times import StartTimes, reference
 from maddercart.sidecar.upstreams import number_of
 from tests.helpers import MS, Desk, answer, config, host, request
@@ -28,521 +29,539 @@
 READY = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-def break_off(sock: socket.socket) -> None:
-    """Ends a connection with a reset."""
+def reset(sock: socket.socket) -> None:
+    """Closes a connection with a TCP reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-def watched(desk: Desk) -> socket.socket:
-    """The sidecar's watch, once it has been asked for and answered with its head."""
-    sock = desk.accept_from(desk.discovery)
-    assert desk.read(sock).startswith(b"GET /api/targets?watch=1&after=1 HTTP/1.1\r\n")
+def watched(harness: Desk) -> socket.socket:
+    """Accepts the sidecar's watch of the list and answers it with the response headers."""
+    sock = harness.accept_from(harness.discovery)
+    assert harness.read(sock).startswith(b"GET /api/targets?watch=1&after=1 HTTP/1.1\r\n")
     sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     return sock
 
 
 def tell(sock: socket.socket, line: str) -> None:
+    """Sends one line on a watch, as a chunk."""
     sock.sendall(b"%x\r\n%s\n\r\n" % (len(line) + 1, line.encode()))
 
 
 # -- how a connection ends
 
 
-def test_every_ending_has_its_outcome_and_only_what_never_ran_says_so() -> None:
+def test_every_ending_maps_to_an_outcome_and_only_unsent_or_turned_away_queries_never_ran() -> None:
     assert set(OUTCOMES) == set(Ending)
     never = {ending for ending, outcome in OUTCOMES.items() if outcome in i.NEVER_RAN}
     assert never == {
         Ending.NO_ADDRESS, Ending.NO_DESCRIPTOR, Ending.WITHDRAWN, Ending.REFUSED, Ending.NEVER_CAME_UP,
         Ending.BROKE_UNWRITTEN, Ending.TIME_UP_UNWRITTEN, Ending.TURNED_AWAY,
     }  # fmt: skip
-    assert [of_status(s, True) for s in (200, 503, 504)] == [Ending.ANSWERED, *[Ending.TURNED_AWAY] * 2]
-    assert {of_status(s, False) for s in (201, 204, 301, 404, 429, 500, 503, 504)} == {Ending.FAILED}
-    assert of_status(500, True) == Ending.FAILED, "only 503 and 504 can say that it never ran"
+    assert [ending_of_status(s, True) for s in (200, 503, 504)] == [
+        Ending.ANSWERED,
+        *[Ending.TURNED_AWAY] * 2,
+    ]
+    assert {ending_of_status(s, False) for s in (201, 204, 301, 404, 429, 500, 503, 504)} == {Ending.FAILED}
+    assert ending_of_status(500, True) == Ending.FAILED, "only 503 and 504 can say that it never ran"
 
 
-SAID: dict[str, Callable[[socket.socket], None]] = {
+UPSTREAM_ACTIONS: dict[str, Callable[[socket.socket], None]] = {
     "answered": lambda sock: sock.sendall(answer()),
     "turned_away": lambda sock: sock.sendall(answer(503, more="X-Never-Ran: 1\r\n")),
     "failed": lambda sock: sock.sendall(answer(503)),
     "malformed": lambda sock: sock.sendall(b"no answer at all\r\n\r\n"),
-    "broke_written": break_off,
+    "broke_written": reset,
     "time_up": lambda sock: None,
 }
 
 
-@pytest.mark.parametrize("how", SAID)
-def test_what_an_upstream_does_after_it_has_a_query(how: str) -> None:
-    """A labelled query with one upstream: where it may have run, the client must not be told to retry."""
-    with Desk() as desk:
-        client = desk.ask("post", body="abc", trace="t1")
-        upstream = desk.accept()
-        got = desk.read(upstream, b"abc")
+@pytest.mark.parametrize("ending", UPSTREAM_ACTIONS)
+def test_reply_and_ending_after_a_labelled_query_was_written(ending: str) -> None:
+    """With a single upstream: where the query may have run, the client must not be told to retry."""
+    with Desk() as harness:
+        client = harness.ask("post", body="abc", trace="t1")
+        upstream = harness.accept()
+        got = harness.read(upstream, b"abc")
         assert got.startswith(b"POST /post?sid=7 HTTP/1.1\r\n") and b"X-Trace-Id: t1\r\n" in got
-        SAID[how](upstream)
-        status = desk.reply(client)
-        assert status == {"answered": 200, "turned_away": 503}.get(how, 502)
-        assert desk.node.decisions.counts[how] == 1 and not desk.node.decisions.out
-        if how != "turned_away" and how != "answered" and how != "failed":
-            assert desk.node.pool.count == 0, "its connection is closed"
+        UPSTREAM_ACTIONS[ending](upstream)
+        status = harness.reply(client)
+        assert status == {"answered": 200, "turned_away": 503}.get(ending, 502)
+        assert harness.node.decisions.counts[ending] == 1 and not harness.node.decisions.out
+        if ending != "turned_away" and ending != "answered" and ending != "failed":
+            assert harness.node.pool.count == 0, "the connection is closed"
 
 
-def test_answers_are_as_large_as_memory_allows() -> None:
-    """A day had answers of 400 KB; they were taken for malformed, and every upstream for failing."""
-    with Desk() as desk:
-        client, body = desk.ask("post"), "x" * 400_000
-        upstream = desk.accept()
+def test_answer_bodies_are_limited_by_memory_only() -> None:
+    """Answers of 400 KB over a fixed limit were treated as malformed, and so each upstream as failing."""
+    with Desk() as harness:
+        client, body = harness.ask("post"), "x" * 400_000
+        upstream = harness.accept()
 
-        def push() -> None:
+        def send_answer() -> None:
             with suppress(OSError):
                 upstream.sendall(answer(body=body + "end"))
 
-        for most, status in ((desk.node.dispatcher.most_bodies, b"200"), (100_000, b"502")):
-            desk.node.dispatcher.most_bodies = most
-            desk.read(upstream)
+        for max_body_bytes, status in ((harness.node.dispatcher.max_body_bytes, b"200"), (100_000, b"502")):
+            harness.node.dispatcher.max_body_bytes = max_body_bytes
+            harness.read(upstream)
             upstream.settimeout(5)
-            sender = threading.Thread(target=push)
+            sender = threading.Thread(target=send_answer)
             sender.start()
-            got = desk.read(client, b"end" if status == b"200" else b"\r\n\r\n")
-            assert got.split(b" ", 2)[1] == status and not desk.node.dispatcher.bodies
+            got = harness.read(client, b"end" if status == b"200" else b"\r\n\r\n")
+            assert got.split(b" ", 2)[1] == status and not harness.node.dispatcher.body_bytes
             sender.join()
             client.sendall(request("post"))
 
 
-def test_an_upstream_that_half_answers_and_ends_has_reset() -> None:
-    with Desk() as desk:
-        client = desk.ask("post")
-        upstream = desk.accept()
-        desk.read(upstream)
+def test_a_connection_closed_within_an_answer_ends_as_broke_written() -> None:
+    with Desk() as harness:
+        client = harness.ask("post")
+        upstream = harness.accept()
+        harness.read(upstream)
         upstream.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
         upstream.close()
-        assert desk.reply(client) == 502 and desk.node.decisions.counts["broke_written"] == 1
+        assert harness.reply(client) == 502 and harness.node.decisions.counts["broke_written"] == 1
 
 
-def test_a_refused_connection_never_ran() -> None:
-    with Desk() as desk:
-        desk.ears[0].close()
-        assert desk.reply(desk.ask("post")) == 503
-        assert desk.node.decisions.counts["refused"] == 1
+def test_a_refused_connection_bounces_the_query() -> None:
+    with Desk() as harness:
+        harness.ears[0].close()
+        assert harness.reply(harness.ask("post")) == 503
+        assert harness.node.decisions.counts["refused"] == 1
 
 
 @pytest.mark.parametrize(("expires", "within"), [("900m", 100), ("200m", 2000)])
-def test_a_connection_that_never_comes_up_never_ran_also_where_the_time_is_up_first(
+def test_a_connection_that_never_comes_up_bounces_the_query_within_either_timeout(
     expires: str, within: int
 ) -> None:
-    with socket.create_server(("127.0.0.1", 0), backlog=0) as deaf:
-        at = "{}:{}".format(*deaf.getsockname())
-        full = [socket.socket() for _ in range(4)]
-        for sock in full:  # a backlog that is full takes no connection up
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as full_listener:
+        at = "{}:{}".format(*full_listener.getsockname())
+        fillers = [socket.socket() for _ in range(4)]
+        for sock in fillers:  # with a full backlog no further connection comes up
             sock.setblocking(False)
-            sock.connect_ex(deaf.getsockname())
-        with Desk(hosts=[host("s-0", at)]) as desk:
-            desk.node.decisions.dispatcher.connect_timeout = within * MS
+            sock.connect_ex(full_listener.getsockname())
+        with Desk(hosts=[host("s-0", at)]) as harness:
+            harness.node.decisions.dispatcher.connect_timeout = within * MS
             began = time.monotonic()
-            assert desk.reply(desk.ask("post", expires=expires)) == 503
-            assert time.monotonic() - began < 0.8 and desk.node.decisions.counts["never_came_up"] == 1
-        for sock in full:
+            assert harness.reply(harness.ask("post", expires=expires)) == 503
+            assert time.monotonic() - began < 0.8 and harness.node.decisions.counts["never_came_up"] == 1
+        for sock in fillers:
             sock.close()
 
 
-def test_what_was_never_written_whole_never_ran() -> None:
-    with Desk() as desk:
-        desk.ears[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+def test_a_query_that_was_not_written_whole_is_bounced() -> None:
+    with Desk() as harness:
+        harness.ears[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         body = "x" * 65_000
-        many = [desk.ask("post", body=body, expires="300m") for _ in range(2)]
+        many = [harness.ask("post", body=body, expires="300m") for _ in range(2)]
         for client in many:
-            assert desk.reply(client) in (502, 503)
-        counts = desk.node.decisions.counts
+            assert harness.reply(client) in (502, 503)
+        counts = harness.node.decisions.counts
         assert counts["time_up"] + counts["time_up_unwritten"] == 2
         assert counts["bounced"] == counts["time_up_unwritten"]
 
 
-# -- the pool
+# -- the connection pool
 
 
-def test_a_connection_serves_again_and_one_that_ended_is_dropped() -> None:
-    with Desk() as desk:
-        client = desk.ask()
-        upstream = desk.accept()
+def test_a_connection_is_reused_and_dropped_once_the_upstream_closes_it() -> None:
+    with Desk() as harness:
+        client = harness.ask()
+        upstream = harness.accept()
         for _ in range(3):
-            desk.read(upstream)
+            harness.read(upstream)
             upstream.sendall(answer())
-            assert desk.reply(client) == 200
+            assert harness.reply(client) == 200
             client.sendall(request())
-        assert desk.node.pool.count == 1
-        desk.read(upstream)
+        assert harness.node.pool.count == 1
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200
+        assert harness.reply(client) == 200
         upstream.close()
-        desk.turn(lambda: desk.node.pool.count == 0)
+        harness.turn(lambda: harness.node.pool.count == 0)
         client.sendall(request())
-        desk.read(again := desk.accept())
+        harness.read(again := harness.accept())
         again.sendall(answer())
-        assert desk.reply(client) == 200 and desk.node.decisions.counts["answered"] == 5
+        assert harness.reply(client) == 200 and harness.node.decisions.counts["answered"] == 5
 
 
-def test_a_kept_connection_that_breaks_is_no_failure_of_its_upstream() -> None:
-    """One query in ten met one, and half of all upstreams were ejected for it at any time."""
-    with Desk() as desk:
-        client = desk.ask("post")
-        counts, health = desk.node.decisions.counts, desk.node.decisions.balancer.health
+def test_a_reused_connection_that_breaks_does_not_count_against_its_upstream() -> None:
+    """With one query in ten on such a connection, half of all upstreams were ejected at any time."""
+    with Desk() as harness:
+        client = harness.ask("post")
+        counts, health = harness.node.decisions.counts, harness.node.decisions.balancer.health
         for end in range(1, 5):
-            desk.read(upstream := desk.accept())
+            harness.read(upstream := harness.accept())
             upstream.sendall(answer())
-            assert desk.reply(client) == 200
+            assert harness.reply(client) == 200
             client.sendall(request("post"))
-            desk.read(upstream)
-            break_off(upstream)
-            assert desk.reply(client) == 502 and counts["broke_kept"] == end, "it may have run"
+            harness.read(upstream)
+            reset(upstream)
+            assert harness.reply(client) == 502 and counts["broke_kept"] == end, "it may have run"
             client.sendall(request("post"))
         assert not health.ejected
-        desk.read(upstream := desk.accept())
-        break_off(upstream)
-        assert desk.reply(client) == 502 and counts["broke_written"] == 1, "a new one is another matter"
-
-
-def test_a_spare_connection_whose_end_was_not_seen_yet_is_not_used() -> None:
-    """A query written to it would end as a reset, and so might have run."""
-    with Desk() as desk:
-        client = desk.ask()
-        upstream = desk.accept()
-        desk.read(upstream)
+        harness.read(upstream := harness.accept())
+        reset(upstream)
+        assert harness.reply(client) == 502 and counts["broke_written"] == 1, (
+            "a new connection that breaks is a reset"
+        )
+
+
+def test_an_idle_connection_with_an_unread_end_is_not_reused() -> None:
+    """A query written to it would end as a reset, and might have run."""
+    with Desk() as harness:
+        client = harness.ask()
+        upstream = harness.accept()
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200
+        assert harness.reply(client) == 200
         upstream.close()
         number = number_of("s-0")
-        connection = desk.node.pool.idle[number][0]
-        assert desk.node.pool.take(number, connection.dial) is None and desk.node.pool.count == 0
-
-
-def test_spare_connections_grow_old_and_go() -> None:
-    with Desk() as desk:
-        desk.node.pool.kept_for = 50 * MS
-        client = desk.ask()
-        upstream = desk.accept()
-        desk.read(upstream)
+        connection = harness.node.pool.idle[number][0]
+        assert (
+            harness.node.pool.take_idle(number, connection.address) is None and harness.node.pool.count == 0
+        )
+
+
+def test_idle_connections_are_closed_after_the_idle_timeout() -> None:
+    with Desk() as harness:
+        harness.node.pool.idle_timeout = 50 * MS
+        client = harness.ask()
+        upstream = harness.accept()
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200 and desk.node.pool.count == 1
-        assert desk.read(upstream) == b"" and desk.node.pool.count == 0
+        assert harness.reply(client) == 200 and harness.node.pool.count == 1
+        assert harness.read(upstream) == b"" and harness.node.pool.count == 0
 
 
-def test_descriptors_that_run_out_cost_spare_connections_first_and_no_upstream_its_name() -> None:
-    with Desk(upstreams=2) as desk:
-        pool = desk.node.pool
-        pool.most = 1
-        first, decisions = desk.ask("post", expires="900m"), desk.node.decisions
-        desk.turn(lambda: decisions.out)
+def test_exhausted_descriptors_close_idle_connections_first_and_eject_no_upstream() -> None:
+    with Desk(upstreams=2) as harness:
+        pool = harness.node.pool
+        pool.max_connections = 1
+        first, decisions = harness.ask("post", expires="900m"), harness.node.decisions
+        harness.turn(lambda: decisions.out)
         for _ in range(6):
-            assert desk.reply(desk.ask("post")) == 503
+            assert harness.reply(harness.ask("post")) == 503
         assert decisions.counts["no_descriptor"] > 6 and not decisions.balancer.health.ejected
         (out,) = decisions.out.values()
-        upstream = desk.accept(["s-0", "s-1"].index(desk.node.upstreams.names[out.upstream]))
-        desk.read(upstream)
+        upstream = harness.accept(["s-0", "s-1"].index(harness.node.upstreams.names[out.upstream]))
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(first) == 200 and pool.count == 1
+        assert harness.reply(first) == 200 and pool.count == 1
         connection = pool.open(1, ("127.0.0.1", 1))
-        assert connection is not None and pool.count == 1 and desk.read(upstream) == b"", "the spare one went"
+        assert connection is not None and pool.count == 1 and harness.read(upstream) == b"", (
+            "the idle connection was closed"
+        )
         pool.close(connection)
 
 
 # -- the application's connections
 
 
-def test_a_client_that_goes_away_ends_its_query_and_the_dispatch_of_it() -> None:
-    with Desk() as desk:
-        client = desk.ask()
-        upstream = desk.accept()
-        desk.read(upstream)
+def test_a_client_that_disconnects_ends_its_query_and_its_dispatch() -> None:
+    with Desk() as harness:
+        client = harness.ask()
+        upstream = harness.accept()
+        harness.read(upstream)
         client.close()
-        assert desk.read(upstream) == b"", "the dispatch was given up by closing its connection"
-        decisions = desk.node.decisions
+        assert harness.read(upstream) == b"", "the dispatch was cancelled by closing its connection"
+        decisions = harness.node.decisions
         assert not decisions.held and not decisions.out and decisions.counts["left"] == 1
 
 
-def test_half_a_request_is_none() -> None:
-    with Desk() as desk:
-        client = desk.client()
+def test_an_incomplete_request_is_not_taken() -> None:
+    with Desk() as harness:
+        client = harness.client()
         client.sendall(request("post", body="abc")[:-1])
-        desk.turn(lambda: any(application.side.begun for application in desk.node.applications.open))
+        harness.turn(
+            lambda: any(connection.protocol.begun for connection in harness.node.applications.connections)
+        )
         client.close()
-        desk.turn(lambda: not desk.node.applications.open)
-        assert not desk.node.decisions.taken
+        harness.turn(lambda: not harness.node.applications.connections)
+        assert not harness.node.decisions.taken
 
 
-def test_a_request_that_drips_is_not_waited_for_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each byte began the time anew, and a descriptor was held for good."""
-    monkeypatch.setitem(LONGEST, Phase.NEW, 60 * MS)
-    with Desk() as desk:
-        client = desk.client()
+def test_a_request_that_arrives_byte_by_byte_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """If each byte restarted the timeout, a descriptor would be held for good."""
+    monkeypatch.setitem(PHASE_TIMEOUTS_NS, Phase.NEW, 60 * MS)
+    with Desk() as harness:
+        client = harness.client()
         client.sendall(request()[:20])
-        desk.turn(lambda: desk.node.applications.open)
+        harness.turn(lambda: harness.node.applications.connections)
 
-        def dripped() -> bool:
+        def send_byte_until_closed() -> bool:
             with suppress(OSError):
                 client.sendall(b"x")
-            return not desk.node.applications.open
+            return not harness.node.applications.connections
 
-        desk.turn(dripped)
+        harness.turn(send_byte_until_closed)
 
 
-def test_a_client_that_breaks_off_while_it_is_answered_harms_no_other() -> None:
-    with Desk() as desk:
-        client, other = desk.ask(), desk.ask()
-        upstreams = [desk.accept(), desk.accept()]
-        break_off(client)
+def test_a_client_reset_while_its_query_is_held_does_not_affect_others() -> None:
+    with Desk() as harness:
+        client, other = harness.ask(), harness.ask()
+        upstreams = [harness.accept(), harness.accept()]
+        reset(client)
         for upstream in upstreams:
-            desk.read(upstream)
+            harness.read(upstream)
             upstream.sendall(answer()) if upstream.fileno() >= 0 else None
-        assert desk.reply(other) == 200 and not desk.node.decisions.held
+        assert harness.reply(other) == 200 and not harness.node.decisions.held
 
 
-def test_pipelined_requests_are_answered_one_by_one() -> None:
-    with Desk() as desk:
-        client = desk.client()
+def test_pipelined_requests_are_taken_and_answered_one_by_one() -> None:
+    with Desk() as harness:
+        client = harness.client()
         client.sendall(request() + request() + request())
-        upstream = desk.accept()
+        upstream = harness.accept()
         for _ in range(3):
-            desk.read(upstream)
-            assert len(desk.node.decisions.held) == 1
+            harness.read(upstream)
+            assert len(harness.node.decisions.held) == 1
             upstream.sendall(answer())
-            assert desk.reply(client) == 200
+            assert harness.reply(client) == 200
 
 
-def test_bad_input_is_told_apart_and_never_a_bounce() -> None:
-    with Desk() as desk:
-        client = desk.client()
+def test_invalid_requests_get_4xx_and_are_never_bounced() -> None:
+    with Desk() as harness:
+        client = harness.client()
         client.sendall(b"\x00\x01 nothing\r\n\r\n")
-        assert desk.reply(client) == 400 and desk.read(client) == b""
-        client = desk.client()
+        assert harness.reply(client) == 400 and harness.read(client) == b""
+        client = harness.client()
         client.sendall(request().replace(b"/look", b"/other"))
-        assert desk.reply(client) == 404
+        assert harness.reply(client) == 404
         client.sendall(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert desk.reply(client) == 200, "the connection goes on"
-        assert not desk.node.decisions.taken
+        assert harness.reply(client) == 200, "the connection stays open"
+        assert not harness.node.decisions.taken
 
 
-def test_it_is_ready_once_an_upstream_is_known() -> None:
-    with Desk(hosts=[]) as desk:
-        client = desk.client()
+def test_the_readiness_path_answers_200_once_an_upstream_is_ready() -> None:
+    with Desk(hosts=[]) as harness:
+        client = harness.client()
         client.sendall(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert desk.reply(client) == 503
-        tell(watched(desk), json.dumps({"seq": 2, "whole": False, "hosts": [host()]}))
-        desk.turn(lambda: desk.node.upstreams.ready)
+        assert harness.reply(client) == 503
+        tell(watched(harness), json.dumps({"seq": 2, "whole": False, "hosts": [host()]}))
+        harness.turn(lambda: harness.node.upstreams.ready)
         client.sendall(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert desk.reply(client) == 200
+        assert harness.reply(client) == 200
 
 
-def test_a_client_that_says_nothing_or_half_is_sent_away(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Silent connections had no limit at all and held places for good."""
-    monkeypatch.setitem(LONGEST, Phase.NEW, 60 * MS)
-    monkeypatch.setitem(LONGEST, Phase.PART, 60 * MS)
-    with Desk() as desk:
-        silent, half = desk.client(), desk.client()
+def test_silent_connections_and_partial_requests_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Silent connections without a limit held their slots for good."""
+    monkeypatch.setitem(PHASE_TIMEOUTS_NS, Phase.NEW, 60 * MS)
+    monkeypatch.setitem(PHASE_TIMEOUTS_NS, Phase.PART, 60 * MS)
+    with Desk() as harness:
+        silent, half = harness.client(), harness.client()
         half.sendall(request()[:20])
-        assert desk.read(silent) == b"" and desk.reply(half) == 408 and desk.read(half) == b""
-        client = desk.ask()
-        desk.read(upstream := desk.accept())
+        assert harness.read(silent) == b"" and harness.reply(half) == 408 and harness.read(half) == b""
+        client = harness.ask()
+        harness.read(upstream := harness.accept())
         upstream.sendall(answer())
-        assert desk.reply(client) == 200
+        assert harness.reply(client) == 200
         client.sendall(request()[:20])
-        assert desk.reply(client) == 408 and not desk.node.decisions.counts["aborted"]
-
-
-@pytest.mark.parametrize("phase", KEEPS)
-def test_places_that_ran_out_go_to_those_who_ask(phase: Phase, monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a day of clients that ask once and keep their connection all places were held by them."""
-    monkeypatch.setitem(KEEPS, phase, 100 * MS)
-    first = {Phase.NEW: b"", Phase.PART: request()[:20], Phase.IDLE: READY, Phase.REFUSED: b"\x00\r\n\r\n"}
-    monkeypatch.setattr("maddercart.sidecar.applications.Applications.crowded", lambda _: False)
-    with Desk() as desk:
-        desk.node.applications.most = 2
-        held = [desk.client(), desk.client()]
+        assert harness.reply(client) == 408 and not harness.node.decisions.counts["aborted"]
+
+
+@pytest.mark.parametrize("phase", EVICTABLE_AFTER_NS)
+def test_with_all_slots_taken_one_connection_is_evicted_for_a_new_client(
+    phase: Phase, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Clients that ask once and keep their connection held all slots."""
+    monkeypatch.setitem(EVICTABLE_AFTER_NS, phase, 100 * MS)
+    sent = {Phase.NEW: b"", Phase.PART: request()[:20], Phase.IDLE: READY, Phase.REFUSED: b"\x00\r\n\r\n"}
+    monkeypatch.setattr("maddercart.sidecar.applications.Applications.is_crowded", lambda _: False)
+    with Desk() as harness:
+        harness.node.applications.most = 2
+        held = [harness.client(), harness.client()]
         for client in held:
-            client.sendall(first[phase])
-        desk.turn(lambda: len(desk.node.applications.phases[phase]) == 2)
-        third = desk.client()
+            client.sendall(sent[phase])
+        harness.turn(lambda: len(harness.node.applications.phases[phase]) == 2)
+        third = harness.client()
         third.sendall(READY)
         began = time.monotonic()
-        assert desk.reply(third) == 200 and 0.05 < time.monotonic() - began < 0.4
-        assert len(desk.node.applications.open) == 2 and desk.node.decisions.counts["crowded_out"] == 1
-
-
-def test_who_waits_for_an_answer_keeps_its_place() -> None:
-    with Desk() as desk:
-        desk.node.applications.most = 1
-        client = desk.ask()
-        upstream = desk.accept()
-        other = desk.client()
+        assert harness.reply(third) == 200 and 0.05 < time.monotonic() - began < 0.4
+        assert (
+            len(harness.node.applications.connections) == 2
+            and harness.node.decisions.counts["crowded_out"] == 1
+        )
+
+
+def test_a_connection_that_awaits_its_answer_is_not_evicted() -> None:
+    with Desk() as harness:
+        harness.node.applications.most = 1
+        client = harness.ask()
+        upstream = harness.accept()
+        other = harness.client()
         other.sendall(READY)
-        desk.turn_for(0.2)
-        desk.read(upstream)
+        harness.turn_for(0.2)
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200
+        assert harness.reply(client) == 200
         client.close()
-        assert desk.reply(other) == 200
+        assert harness.reply(other) == 200
 
 
-def test_the_id_of_a_held_query_is_no_other_querys() -> None:
-    with Desk() as desk:
-        client = desk.ask("post", trace="t7")
-        desk.read(upstream := desk.accept())
-        assert desk.reply(desk.ask(trace="t7")) == 409
+def test_a_trace_id_is_refused_while_a_query_with_it_is_held() -> None:
+    with Desk() as harness:
+        client = harness.ask("post", trace="t7")
+        harness.read(upstream := harness.accept())
+        assert harness.reply(harness.ask(trace="t7")) == 409
         upstream.sendall(answer())
-        assert desk.reply(client) == 200 and desk.node.decisions.taken == 1
+        assert harness.reply(client) == 200 and harness.node.decisions.taken == 1
         client.sendall(request(trace="t7"))
-        desk.read(upstream)
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200, "once it has its answer the id is free"
+        assert harness.reply(client) == 200, "the id is free once its query is answered"
 
 
-def test_a_come_back_time_is_said_with_a_bounce() -> None:
-    with Desk(hosts=[]) as desk:
-        assert b"Retry-After: 0.0" in desk.read(desk.ask())
+def test_a_bounce_carries_retry_after() -> None:
+    with Desk(hosts=[]) as harness:
+        assert b"Retry-After: 0.0" in harness.read(harness.ask())
 
 
-def test_an_answer_goes_on_with_its_headers_but_for_those_of_the_connection() -> None:
-    """A body without its Content-Encoding is another body."""
-    with Desk() as desk:
-        client = desk.ask()
-        desk.read(upstream := desk.accept())
+def test_an_answer_is_passed_on_with_its_end_to_end_headers_only() -> None:
+    """Without its Content-Encoding a body would be misread."""
+    with Desk() as harness:
+        client = harness.ask()
+        harness.read(upstream := harness.accept())
         upstream.sendall(answer(more="Content-Encoding: br\r\nKeep-Alive: timeout=9\r\nX-Never-Ran: 0\r\n"))
-        got = desk.read(client)
+        got = harness.read(client)
         assert got.startswith(b"HTTP/1.1 200 OK\r\nContent-Encoding: br\r\n")
         assert got.endswith(b"\r\n\r\nwell") and got.count(b"\r\n") == 4
 
 
-def test_a_slow_reader_holds_up_no_one_else() -> None:
-    with Desk() as desk:
-        slow = desk.client()
+def test_a_client_that_reads_slowly_does_not_delay_others() -> None:
+    with Desk() as harness:
+        slow = harness.client()
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
         slow.sendall(request())
-        upstream = desk.accept()
-        desk.read(upstream)
+        upstream = harness.accept()
+        harness.read(upstream)
         upstream.sendall(answer(body="x" * 65_000))
-        client = desk.ask()
-        desk.read(again := desk.accept() if not desk.node.pool.idle else upstream)
+        client = harness.ask()
+        harness.read(again := harness.accept() if not harness.node.pool.idle else upstream)
         again.sendall(answer())
-        assert desk.reply(client) == 200
+        assert harness.reply(client) == 200
 
 
 # -- discovery
 
 
-def test_what_discovery_has_written_counts_before_queries_of_the_same_turn() -> None:
-    """A drain is told as soon as discovery has written it: nothing new may follow for long."""
-    with Desk(upstreams=2) as desk:
-        watch = watched(desk)
-        client = desk.client()
-        desk.turn(lambda: desk.node.applications.open)
-        gone = [host(f"s-{n}", dial, health="DRAINING") for n, dial in enumerate(desk.dials)]
+def test_updates_from_discovery_apply_before_queries_of_the_same_loop_turn() -> None:
+    """A drain counts as told once discovery has written it: new queries may follow only for a short grace."""
+    with Desk(upstreams=2) as harness:
+        watch = watched(harness)
+        client = harness.client()
+        harness.turn(lambda: harness.node.applications.connections)
+        draining = [host(f"s-{n}", dial, health="DRAINING") for n, dial in enumerate(harness.dials)]
         client.sendall(request())
-        tell(watch, json.dumps({"seq": 2, "whole": False, "hosts": gone}))
-        assert desk.reply(client) == 503 and not desk.node.decisions.counts["answered"]
-        assert not desk.node.pool.count
+        tell(watch, json.dumps({"seq": 2, "whole": False, "hosts": draining}))
+        assert harness.reply(client) == 503 and not harness.node.decisions.counts["answered"]
+        assert not harness.node.pool.count
 
 
-def test_an_upstream_that_left_keeps_no_spare_connection() -> None:
-    with Desk() as desk:
-        watch = watched(desk)
-        client = desk.ask()
-        upstream = desk.accept()
-        desk.read(upstream)
+def test_a_deleted_upstream_keeps_no_idle_connection() -> None:
+    with Desk() as harness:
+        watch = watched(harness)
+        client = harness.ask()
+        upstream = harness.accept()
+        harness.read(upstream)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200 and desk.node.pool.count == 1
+        assert harness.reply(client) == 200 and harness.node.pool.count == 1
         client.sendall(request())
-        desk.read(upstream)
+        harness.read(upstream)
         tell(watch, json.dumps({"seq": 2, "hosts": [host("s-0", health="DELETED")]}))
-        desk.turn(lambda: not desk.node.upstreams.ready)
+        harness.turn(lambda: not harness.node.upstreams.ready)
         upstream.sendall(answer())
-        assert desk.reply(client) == 200, "what is out there may end"
-        assert desk.node.pool.count == 0
+        assert harness.reply(client) == 200, "a dispatch that was sent may end"
+        assert harness.node.pool.count == 0
 
 
 @pytest.mark.parametrize("line", ["no JSON", '{"seq":0,"hosts":[]}', '{"seq":"x","hosts":[]}', "[]"])
-def test_after_a_line_that_cannot_be_used_the_whole_list_is_asked_for(line: str) -> None:
-    with Desk() as desk:
-        watch = watched(desk)
+def test_after_an_unusable_line_the_whole_list_is_requested(line: str) -> None:
+    with Desk() as harness:
+        watch = watched(harness)
         watch.sendall(b"1\r\n\n\r\n")
         tell(watch, line)
-        assert desk.read(watch) == b""
-        again = desk.accept_from(desk.discovery)
-        assert desk.read(again).startswith(b"GET /api/targets HTTP/1.1\r\n")
+        assert harness.read(watch) == b""
+        again = harness.accept_from(harness.discovery)
+        assert harness.read(again).startswith(b"GET /api/targets HTTP/1.1\r\n")
         again.sendall(answer(body=json.dumps({"seq": 9, "whole": True, "hosts": [host("s-9")]})))
-        assert b"after=9" in desk.read(again)
-        assert desk.node.upstreams.ready == {number_of("s-9")}
+        assert b"after=9" in harness.read(again)
+        assert harness.node.upstreams.ready == {number_of("s-9")}
 
 
-def test_a_watch_that_breaks_or_falls_silent_is_asked_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_watch_that_breaks_or_falls_silent_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("maddercart.sidecar.discovery.SILENCE", 50 * MS)
-    with Desk() as desk:
-        first = watched(desk)
+    with Desk() as harness:
+        first = watched(harness)
         tell(first, '{"seq":1,"hosts":[]}')
-        assert desk.read(first) == b"", "silent, so it is given up"
-        desk.accept_from(desk.discovery).close()
-        watched(desk)
+        assert harness.read(first) == b"", "the silent watch is closed"
+        harness.accept_from(harness.discovery).close()
+        watched(harness)
 
 
 @pytest.mark.parametrize("fault", [OSError("no descriptor is left"), RuntimeError("a fault of ours")])
-def test_a_watch_that_cannot_begin_is_begun_again(monkeypatch: pytest.MonkeyPatch, fault: Exception) -> None:
-    """It was taken for one that goes on, and the list was never asked for again."""
+def test_a_watch_that_fails_to_open_is_retried(monkeypatch: pytest.MonkeyPatch, fault: Exception) -> None:
+    """If it counted as open, the list would never be requested again."""
     faults = [fault]
 
-    with Desk() as desk:
-        opened = desk.node.loop.machine.tcp
+    with Desk() as harness:
+        opened = harness.node.loop.machine.tcp
 
         def tcp() -> socket.socket:
             if faults:
                 raise faults.pop()
             return opened()
 
-        monkeypatch.setattr(desk.node.loop.machine, "tcp", tcp)
-        watched(desk)
+        monkeypatch.setattr(harness.node.loop.machine, "tcp", tcp)
+        watched(harness)
         assert not faults
 
 
-def test_a_new_configuration_moves_to_another_discovery_and_loses_nothing() -> None:
-    """The old service ends its watches soon after; the list stays in use until the new one has told one."""
-    with Desk() as desk:
-        old, client = watched(desk), desk.ask()
-        desk.read(upstream := desk.accept())
+def test_a_reload_switches_to_another_discovery_service_without_losing_the_list_or_a_query() -> None:
+    """The old service ends its watches soon after; the known list stays in use until the new one sends its
+    own."""
+    with Desk() as harness:
+        old, client = watched(harness), harness.ask()
+        harness.read(upstream := harness.accept())
         other = socket.create_server(("127.0.0.1", 0))
-        desk.opened.append(other)
-        desk.config |= {"discovery": "{}:{}".format(*other.getsockname()), "limits": {"sockets": 80}}
-        desk.node.renew()
-        new = desk.accept_from(other)
-        assert desk.read(new).startswith(b"GET /api/targets HTTP/1.1\r\n")
-        assert desk.node.upstreams.ready == {number_of("s-0")} and desk.node.pool.most == 24
+        harness.opened.append(other)
+        harness.config |= {"discovery": "{}:{}".format(*other.getsockname()), "limits": {"sockets": 80}}
+        harness.node.renew()
+        new = harness.accept_from(other)
+        assert harness.read(new).startswith(b"GET /api/targets HTTP/1.1\r\n")
+        assert harness.node.upstreams.ready == {number_of("s-0")} and harness.node.pool.max_connections == 24
         upstream.sendall(answer())
-        assert desk.reply(client) == 200
-        whole = {"seq": 1, "whole": True, "hosts": [host("s-0", desk.dials[0]), host("s-9")]}
+        assert harness.reply(client) == 200
+        whole = {"seq": 1, "whole": True, "hosts": [host("s-0", harness.dials[0]), host("s-9")]}
         new.sendall(answer(body=json.dumps(whole)))
-        assert b"watch=1&after=1 " in desk.read(new)
-        assert desk.read(old) == b"", "the old watch is given up once the new service has spoken"
-        assert desk.node.upstreams.ready == {number_of("s-0"), number_of("s-9")}
-        desk.node.renew()
-        desk.turn_for(0.05)
-        assert desk.node.discovery.following and not select.select([other, new], [], [], 0)[0], "no change"
+        assert b"watch=1&after=1 " in harness.read(new)
+        assert harness.read(old) == b"", "the old watch is closed once the new service has sent a list"
+        assert harness.node.upstreams.ready == {number_of("s-0"), number_of("s-9")}
+        harness.node.renew()
+        harness.turn_for(0.05)
+        assert harness.node.discovery.following and not select.select([other, new], [], [], 0)[0], "no change"
 
 
 @pytest.mark.parametrize("more", [{"discovery": "nowhere"}, {"seed": 7}])
-def test_a_new_configuration_that_cannot_be_used_is_one_line_and_the_old_one_goes_on(
+def test_an_unusable_new_configuration_is_logged_once_and_the_old_one_stays(
     more: dict[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    with Desk() as desk:
-        watched(desk)
-        desk.config |= more
-        desk.node.renew()
-        assert [record.message for record in caplog.records] == ["new configuration can't be used"]
-        client = desk.ask()
-        desk.read(upstream := desk.accept())
+    with Desk() as harness:
+        watched(harness)
+        harness.config |= more
+        harness.node.renew()
+        assert [record.message for record in caplog.records] == ["new configuration rejected"]
+        client = harness.ask()
+        harness.read(upstream := harness.accept())
         upstream.sendall(answer())
-        assert desk.reply(client) == 200 and desk.node.discovery.following
+        assert harness.reply(client) == 200 and harness.node.discovery.following
 
 
 # -- the loop and the clock
 
 
-def test_what_was_meant_for_an_earlier_wait_is_not_for_a_later_one() -> None:
+def test_a_timer_of_an_earlier_wait_does_not_end_a_later_one() -> None:
     loop, seen = Loop(Clock()), []
     near, far = socket.socketpair()
 
@@ -553,13 +572,13 @@
 
     def failing() -> Coroutine:
         yield Wait(until=loop.clock())
-        raise RuntimeError("a fault of one must not end the others")
+        raise RuntimeError("a failing coroutine must not end the others")
 
-    def broken() -> None:
-        raise RuntimeError("nor may that of a timer")
+    def failing_timer() -> None:
+        raise RuntimeError("nor may a failing timer")
 
     loop.spawn(failing())
-    loop.at(loop.clock(), broken)
+    loop.at(loop.clock(), failing_timer)
     task = loop.spawn(waiter())
     far.send(b"x")
     began = time.monotonic()
@@ -571,8 +590,8 @@
     loop.epoll.close()
 
 
-def test_timers_of_waits_that_ended_early_do_not_pile_up() -> None:
-    """One was kept for each query for as long as an idle connection may last."""
+def test_timers_of_waits_that_ended_early_do_not_accumulate() -> None:
+    """One timer was kept for each query for as long as an idle connection may last."""
     loop = Loop(Clock())
 
     def waiter() -> Coroutine:
@@ -594,7 +613,7 @@
     task = loop.spawn(reader())
     for _ in range(5000):
         loop.resume(task, -1)
-    assert len(loop.timers) == 2, "a later end needs no timer of its own"
+    assert len(loop.timers) == 2, "a later deadline needs no timer of its own"
     loop.run()
     assert task.over
     near.close()
@@ -602,8 +621,8 @@
     loop.epoll.close()
 
 
-def test_a_loop_that_was_held_up_says_so(caplog: pytest.LogCaptureFixture) -> None:
-    """Without the line, answers that seem slow would be blamed on upstreams."""
+def test_a_late_loop_turn_is_logged(caplog: pytest.LogCaptureFixture) -> None:
+    """Without the line, slow answers would be attributed to upstreams."""
     loop = Loop(lambda: 100 * MS)
     loop.at(80 * MS, lambda: None)
     loop.turn()
@@ -615,7 +634,7 @@
 
 
 @pytest.mark.parametrize("step", [-3600, 5, 3600])
-def test_our_clock_only_advances_with_real_time_whatever_the_wall_clock_does(
+def test_the_clock_advances_with_real_time_while_the_wall_clock_steps(
     step: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = Clock()
@@ -624,9 +643,9 @@
     assert 0 <= clock() - before < i.SECOND and 0 <= Clock()() - before < i.SECOND
 
 
-def test_a_start_has_one_instant_and_another_stamp_is_another_start() -> None:
-    """A start told twice must be the same time twice: a later one would be taken for a restart. One that is
-    stamped earlier than the last, by a clock that was set back, is a restart all the same."""
+def test_a_start_stamp_always_gives_the_same_instant_and_a_different_stamp_is_a_restart() -> None:
+    """A later instant for the same start would be taken for a restart. A stamp earlier than the last one,
+    from a clock that was set back, is a restart too."""
     now = 100 * i.SECOND
     starts = StartTimes(lambda: now)
     first = starts.listed(1, 1_700_000_000_000, 0)
@@ -636,7 +655,8 @@
     assert starts.listed(1, 0, 0) == 0, "long ago"
 
 
-def test_what_started_long_before_others_did_is_as_old_and_one_odd_clock_makes_none_old() -> None:
+def test_start_ages_are_relative_to_the_second_newest_stamp() -> None:
+    """A single host whose clock is ahead must not make other upstreams seem old."""
     now, stamp = 100 * i.SECOND, 1_700_000_000_000
     stamps = {1: stamp, 2: stamp + 3_000, 3: stamp + 9_000, 4: stamp + 3_600_000}
     starts, passed = StartTimes(lambda: now), reference(stamps.values())
@@ -648,136 +668,138 @@
 # -- the process
 
 
-class Process:
-    """A sidecar as operators start it, with one upstream that answers after `delay`."""
+class SidecarProcess:
+    """A sidecar process started by its command, with one upstream that answers after `delay` seconds."""
 
     def __init__(self, folder: Path, delay: float) -> None:
-        self.ear = socket.create_server(("127.0.0.1", 0))
+        self.upstream_listener = socket.create_server(("127.0.0.1", 0))
         self.delay = delay
-        self.seen: list[bytes] = []  # what its upstream was asked
+        self.requests: list[bytes] = []  # as the upstream received them
         threading.Thread(target=self.serve, daemon=True).start()
         self.file = folder / "config.json"
-        self.file.write_bytes(config([host("s-0", "{}:{}".format(*self.ear.getsockname()))]))
+        self.file.write_bytes(config([host("s-0", "{}:{}".format(*self.upstream_listener.getsockname()))]))
         command = [sys.executable, "-m", "maddercart", "serve", "--config", str(self.file)]
         self.process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
         line = self.line("msg=serving")
         name, port = next(word for word in line.split() if "listen=" in word).split("=")[1].split(":")
-        self.at = name, int(port)
+        self.address = name, int(port)
 
-    def line(self, holds: str) -> str:
-        """The next line of its log that holds something."""
+    def line(self, text: str) -> str:
+        """The next line of the log that contains `text`."""
         assert self.process.stderr is not None
-        return next(line for line in self.process.stderr if holds in line)
+        return next(line for line in self.process.stderr if text in line)
 
     def serve(self) -> None:
         while True:
-            sock, _ = self.ear.accept()
+            sock, _ = self.upstream_listener.accept()
             threading.Thread(target=self.answer, args=(sock,), daemon=True).start()
 
     def answer(self, sock: socket.socket) -> None:
-        while b"\r\n\r\n" in (asked := sock.recv(65536)):
-            self.seen.append(asked)
+        while b"\r\n\r\n" in (received := sock.recv(65536)):
+            self.requests.append(received)
             time.sleep(self.delay)
             sock.sendall(answer())
 
     def client(self) -> socket.socket:
-        return socket.create_connection(self.at, timeout=5)
+        return socket.create_connection(self.address, timeout=5)
 
 
-def test_sigterm_answers_what_is_held_and_what_still_comes_and_then_leaves(tmp_path: Path) -> None:
-    process = Process(tmp_path, delay=0.3)
-    idle, held = process.client(), process.client()
+def test_sigterm_answers_held_and_newly_arriving_queries_before_exit(tmp_path: Path) -> None:
+    sidecar = SidecarProcess(tmp_path, delay=0.3)
+    idle, held = sidecar.client(), sidecar.client()
     held.sendall(request(expires="900m"))
     time.sleep(0.1)
     began = time.monotonic()
-    process.process.send_signal(signal.SIGTERM)
+    sidecar.process.send_signal(signal.SIGTERM)
     time.sleep(0.1)
-    process.process.send_signal(signal.SIGTERM)
-    late = process.client()
+    sidecar.process.send_signal(signal.SIGTERM)
+    late = sidecar.client()
     late.sendall(request(expires="900m"))
     for sock in (held, late):
         got = sock.recv(65536)
         assert got.startswith(b"HTTP/1.1 200") and b"Connection: close" in got
         assert sock.recv(1) == b""
     idle.sendall(request(expires="900m"))
-    assert idle.recv(65536).startswith(b"HTTP/1.1 200"), "one that it has is good until it is closed"
-    assert process.process.wait(5) == 0 and 0.4 < time.monotonic() - began < 4
+    assert idle.recv(65536).startswith(b"HTTP/1.1 200"), "an open connection is served until it is closed"
+    assert sidecar.process.wait(5) == 0 and 0.4 < time.monotonic() - began < 4
     with pytest.raises(OSError):
-        process.client()
+        sidecar.client()
 
 
-def test_a_planned_restart_loses_no_query_of_clients_that_go_on_asking(tmp_path: Path) -> None:
-    """Six clients ask on what they have while it stays open, else anew for 0.4 s after the signal."""
-    process, lost, answered = Process(tmp_path, delay=0.02), [], []
-    told = time.monotonic() + 0.3
+def test_sigterm_loses_no_query_of_clients_that_keep_sending(tmp_path: Path) -> None:
+    """Six clients reuse their connection while it stays open, and open new ones for 0.4 s after the
+    signal."""
+    sidecar, lost, answered = SidecarProcess(tmp_path, delay=0.02), [], []
+    signalled_at = time.monotonic() + 0.3
 
     def ask() -> None:
         sock: socket.socket | None = None
-        while sock is not None or time.monotonic() < told + 0.4:
+        while sock is not None or time.monotonic() < signalled_at + 0.4:
             try:
-                sock = sock or process.client()
+                sock = sock or sidecar.client()
                 sock.sendall(request(expires="900m"))
                 got = sock.recv(65536)
             except ConnectionError:
                 got = b""
-            if not got and time.monotonic() < told + 0.4:
-                lost.append(sock)  # on a new connection or on one that had just answered
+            if not got and time.monotonic() < signalled_at + 0.4:
+                lost.append(sock)  # on a new connection, or on one that had just carried an answer
             answered.extend([got] if got else [])
             sock = None if not got or b"Connection: close" in got else sock
 
     clients = [threading.Thread(target=ask) for _ in range(6)]
     for client in clients:
         client.start()
-    time.sleep(max(0.0, told - time.monotonic()))
-    process.process.send_signal(signal.SIGTERM)
-    assert process.process.wait(5) == 0
+    time.sleep(max(0.0, signalled_at - time.monotonic()))
+    sidecar.process.send_signal(signal.SIGTERM)
+    assert sidecar.process.wait(5) == 0
     for client in clients:
         client.join(5)
     assert not lost and len(answered) > 40
     assert all(got.endswith((b"\r\n\r\nwell", b"\r\n\r\nbounced: a retry is harmless\n")) for got in answered)
 
 
-def test_sighup_has_the_configuration_read_again_and_ends_nothing(tmp_path: Path) -> None:
-    """It ended the process, and with it all that was held."""
-    process = Process(tmp_path, delay=0.3)
-    held = process.client()
+def test_sighup_reloads_the_configuration_and_keeps_held_queries(tmp_path: Path) -> None:
+    """Without a handler the signal ends the process, and all held queries with it."""
+    sidecar = SidecarProcess(tmp_path, delay=0.3)
+    held = sidecar.client()
     held.sendall(request(expires="900m"))
-    process.process.send_signal(signal.SIGHUP)
-    assert "discovery" not in process.line("configuration read again")
-    process.file.write_bytes(process.file.read_bytes().replace(b"127.0.0.1:1", b"127.0.0.1:2"))
+    sidecar.process.send_signal(signal.SIGHUP)
+    assert "discovery" not in sidecar.line("configuration reloaded")
+    sidecar.file.write_bytes(sidecar.file.read_bytes().replace(b"127.0.0.1:1", b"127.0.0.1:2"))
     for _ in range(50):
-        process.process.send_signal(signal.SIGHUP)
-    assert "to=127.0.0.1:2" in process.line("discovery moves")
-    process.file.unlink()
-    process.process.send_signal(signal.SIGHUP)
-    assert "level=ERROR" in process.line("new configuration can't be used")
+        sidecar.process.send_signal(signal.SIGHUP)
+    assert "to=127.0.0.1:2" in sidecar.line("discovery moves")
+    sidecar.file.unlink()
+    sidecar.process.send_signal(signal.SIGHUP)
+    assert "level=ERROR" in sidecar.line("new configuration rejected")
     assert held.recv(65536).startswith(b"HTTP/1.1 200")
-    process.process.send_signal(signal.SIGTERM)
-    process.process.send_signal(signal.SIGHUP)
-    assert process.process.wait(5) == 0
+    sidecar.process.send_signal(signal.SIGTERM)
+    sidecar.process.send_signal(signal.SIGHUP)
+    assert sidecar.process.wait(5) == 0
 
 
-def test_an_answered_connection_closes_where_places_are_scarce_and_many_rest() -> None:
-    """Clients that asked once and kept their connection held all places, two seconds each."""
-    with Desk(limits={"sockets": 50, "memory_mb": 192}) as desk:  # nine for the application
-        silent = [desk.client() for _ in range(2)]
-        desk.turn(lambda: len(desk.node.applications.open) == len(silent))
+def test_a_connection_is_closed_after_its_answer_while_slots_are_scarce_and_many_are_idle() -> None:
+    """Clients that asked once and kept their connection held all slots, for two seconds each."""
+    with Desk(limits={"sockets": 50, "memory_mb": 192}) as harness:  # nine application connections
+        silent = [harness.client() for _ in range(2)]
+        harness.turn(lambda: len(harness.node.applications.connections) == len(silent))
         for closes in (False, False, False, True, True):
-            client = desk.client()
+            client = harness.client()
             client.sendall(READY)
-            assert (b"Connection: close" in desk.read(client)) == closes
-            assert not closes or desk.read(client) == b"", "and it does"
+            assert (b"Connection: close" in harness.read(client)) == closes
+            assert not closes or harness.read(client) == b"", "the connection is closed"
         for client in silent:
             client.close()
-        desk.turn(lambda: len(desk.node.applications.open) == 3)
+        harness.turn(lambda: len(harness.node.applications.connections) == 3)
         client.close()
-        last = desk.client()
+        last = harness.client()
         last.sendall(READY)
-        assert b"Connection: close" not in desk.read(last), "fewer than half are taken"
+        assert b"Connection: close" not in harness.read(last), "fewer than half of the slots are taken"
 
 
-def switched(former: bytes, **more: object) -> bytes:
-    """Offerings and zones under other numbers, one offering more."""
+def with_switched_settings(former: bytes, **more: object) -> bytes:
+    """The configuration with offerings and zones renumbered and an offering added; `more` goes to the
+    settings."""
     whole = json.loads(former)
     settings = whole["settings"]
     extra = settings["offerings"][0] | {"name": "extra", "agreed_time": 0.3}
@@ -786,13 +808,14 @@
     return json.dumps(whole).encode()
 
 
-def test_settings_are_switched_under_load_and_back_and_there_again(tmp_path: Path) -> None:
-    """Each query has one answer, none that must not run twice was sent twice, and each state is in force."""
-    process, answered, over = Process(tmp_path, delay=0.02), [], threading.Event()
-    former = process.file.read_bytes()
+def test_settings_can_be_switched_under_load_back_and_forth(tmp_path: Path) -> None:
+    """Each query gets one answer, no query that must not run twice is sent twice, and each switch takes
+    effect."""
+    sidecar, answered, over = SidecarProcess(tmp_path, delay=0.02), [], threading.Event()
+    former = sidecar.file.read_bytes()
 
     def ask(name: str) -> None:
-        sock = process.client()
+        sock = sidecar.client()
         while not over.is_set():
             sock.sendall(request(name, expires="900m"))
             answered.append(sock.recv(65536))
@@ -800,12 +823,16 @@
     clients = [threading.Thread(target=ask, args=(name,)) for name in ("look", "once", "post") * 2]
     for client in clients:
         client.start()
-    for file, status in ((switched(former), b"200"), (former, b"404"), (switched(former), b"200")):
-        process.file.write_bytes(file)
-        process.process.send_signal(signal.SIGHUP)
-        process.line("settings switched")
+    for file, status in (
+        (with_switched_settings(former), b"200"),
+        (former, b"404"),
+        (with_switched_settings(former), b"200"),
+    ):
+        sidecar.file.write_bytes(file)
+        sidecar.process.send_signal(signal.SIGHUP)
+        sidecar.line("settings switched")
         time.sleep(0.2)
-        extra = process.client()
+        extra = sidecar.client()
         extra.sendall(request("look", expires="900m").replace(b"look", b"extra"))
         assert extra.recv(65536).split()[1] == status
     over.set()
@@ -813,52 +840,63 @@
         client.join(5)
     done = [got for got in answered if got.startswith(b"HTTP/1.1 200")]
     assert len(done) > 60 and all(got.count(b"HTTP/1.1 ") == 1 for got in answered)
-    asked = [line for data in process.seen for line in data.split(b"\r\n") if line.startswith(b"X-Trace-Id")]
-    assert len(set(asked)) == len(asked) == len(done) + 2, "each that was done ran once, and no other did"
-    process.process.send_signal(signal.SIGTERM)
-    assert process.process.wait(5) == 0
-
-
-def test_a_query_that_is_held_during_a_switch_stays_in_the_group_that_drops_its_repeats() -> None:
-    """Zones changed their numbers: by the old one its repeat would have gone to the other zone."""
-    with Desk(upstreams=4) as desk:
-        watched(desk)
-        client = desk.ask("post")
-        ear = next(ear for ear in desk.turn(lambda: select.select(desk.ears, [], [], 0)[0]))
-        place = desk.ears.index(ear)
-        desk.read(first := desk.accept_from(ear))
-        desk.config = {**desk.config, "settings": json.loads(switched(config([])))["settings"]}
-        desk.node.renew()
-        break_off(first)
-        others = desk.turn(lambda: select.select(desk.ears, [], [], 0)[0])
-        assert [desk.ears.index(other) % 2 for other in others] == [place % 2] and others != [ear]
-        desk.read(second := desk.accept_from(others[0]))
+    asked = [
+        line for data in sidecar.requests for line in data.split(b"\r\n") if line.startswith(b"X-Trace-Id")
+    ]
+    assert len(set(asked)) == len(asked) == len(done) + 2, (
+        "each query that was done ran once, and no other ran"
+    )
+    sidecar.process.send_signal(signal.SIGTERM)
+    assert sidecar.process.wait(5) == 0
+
+
+def test_a_query_held_during_a_switch_is_repeated_in_the_same_deduplication_group() -> None:
+    """The switch renumbers zones: by the former number the repeat would go to the other zone."""
+    with Desk(upstreams=4) as harness:
+        watched(harness)
+        client = harness.ask("post")
+        listener = next(
+            listener for listener in harness.turn(lambda: select.select(harness.ears, [], [], 0)[0])
+        )
+        first_index = harness.ears.index(listener)
+        harness.read(first := harness.accept_from(listener))
+        harness.config = {
+            **harness.config,
+            "settings": json.loads(with_switched_settings(config([])))["settings"],
+        }
+        harness.node.renew()
+        reset(first)
+        others = harness.turn(lambda: select.select(harness.ears, [], [], 0)[0])
+        assert [harness.ears.index(other) % 2 for other in others] == [first_index % 2] and others != [
+            listener
+        ]
+        harness.read(second := harness.accept_from(others[0]))
         second.sendall(answer())
-        assert desk.reply(client) == 200
+        assert harness.reply(client) == 200
 
 
 @pytest.mark.parametrize(
-    ("more", "says"),
+    ("more", "named_in_reason"),
     [({"zone": 7}, "zone"), ({"offerings": []}, "offerings"), ({"weight_kind": "heavy"}, "weight_kind"),
      ({"rules": {"cold_from": 0.2, "ramp_time": -1, "fall_multiple": 3, "overload_for": 1}}, "ramp_time"),
      ({"zones": ["a", "a", "b"]}, "zones"), ({"parties": [{"quota_per_s": -1}]}, "parties.0.quota_per_s"),
      ({"limits": {"most_dispatches": "x"}}, "most_dispatches"), ({"rules": {"cold_from": 0.2}}, "rules")],
 )  # fmt: skip
-def test_settings_that_cannot_be_used_are_one_line_and_all_of_the_old_ones_stay(
-    more: dict[str, object], says: str, caplog: pytest.LogCaptureFixture
+def test_unusable_settings_are_logged_once_and_all_former_settings_stay(
+    more: dict[str, object], named_in_reason: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    with Desk() as desk:
-        sock, before = watched(desk), desk.node.discovery.at
-        desk.config |= {"settings": json.loads(switched(config([]), **more))["settings"]}
-        desk.config |= {"discovery": "127.0.0.1:9"}
-        desk.node.renew()
-        assert [record.message for record in caplog.records] == ["new configuration can't be used"]
-        assert says in str(vars(caplog.records[0])["reason"])
-        assert desk.node.discovery.at == before and "extra" not in desk.node.front.offerings
-        assert not select.select([sock], [], [], 0)[0], "the watch goes on"
-
-
-def test_a_sighup_before_there_is_a_handler_waits_for_it() -> None:
+    with Desk() as harness:
+        sock, before = watched(harness), harness.node.discovery.at
+        harness.config |= {"settings": json.loads(with_switched_settings(config([]), **more))["settings"]}
+        harness.config |= {"discovery": "127.0.0.1:9"}
+        harness.node.renew()
+        assert [record.message for record in caplog.records] == ["new configuration rejected"]
+        assert named_in_reason in str(vars(caplog.records[0])["reason"])
+        assert harness.node.discovery.at == before and "extra" not in harness.node.front.offerings
+        assert not select.select([sock], [], [], 0)[0], "the watch stays open"
+
+
+def test_a_sighup_before_the_handler_is_installed_does_not_end_the_process() -> None:
     code = (
         "import os, runpy, signal, sys; sys.argv = ['maddercart', 'version']; import maddercart.cli as cli\n"
         "cli.app = lambda: (os.kill(os.getpid(), signal.SIGHUP), os.write(1, b'lives'))\n"
@@ -868,8 +906,8 @@
     assert done.stdout == b"lives"
 
 
-def test_log_lines_that_nobody_reads_hold_nothing_up() -> None:
-    """A full pipe would block the one thread that serves."""
+def test_unread_log_lines_do_not_block_the_process() -> None:
+    """Writing to a full pipe would block the only thread that serves."""
     code = (
         "import logging, time; from maddercart.sidecar import logs; lines = logs.start('INFO')\n"
         "for n in range(5000): logging.info('x' * 200)\n"
@@ -884,7 +922,7 @@
     "text", [None, b"", b"{}", b"no JSON", config([]).replace(b'"guarded"', b'"perhaps"'),
              config([]).replace(b'"8c1f"', b'"no number"'), config([]).replace(b"127.0.0.1:0", b"nowhere")]
 )  # fmt: skip
-def test_a_configuration_that_cannot_be_used_is_one_line_and_code_2(
+def test_an_unusable_configuration_at_start_is_one_log_line_and_exit_code_2(
     text: bytes | None, tmp_path: Path
 ) -> None:
     file = tmp_path / "config.json"
