--- a/maddercart/rig/processes/__init__.py
+++ b/maddercart/rig/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Real sidecar processes on loopback among stand-ins; clocks, system calls and discovery are at fault."""
+"""Soak tests: real sidecar processes on loopback under faults of clocks, system calls and discovery."""
--- a/maddercart/rig/processes/clients.py
+++ b/maddercart/rig/processes/clients.py
@@ -1,4 +1,7 @@
-"""Clients of the sidecars: each asks on a connection of its own, and notes what became of every request."""
+"""Clients that send requests to the sidecars and record the outcome of each one.
+
+Each client has one connection of its own and sends one request at a time.
+"""
 
 import asyncio
 import time
@@ -6,118 +9,134 @@
 from dataclasses import dataclass
 from random import Random
 
-from maddercart.rig.processes.sidecar import LONGEST_DEADLINE, OFFERINGS, SidecarProcess
+from maddercart.rig.processes.sidecar import HARD_STOP_SECONDS, OFFERINGS, SidecarProcess
 
-CONNECTED_UNTIL = 0.4  # seconds after SIGTERM
-LATE_ANSWER = 0.5  # seconds after its time, in which an answer is late but not lost
+CONNECT_WINDOW_SECONDS = 0.4  # after SIGTERM, while the listener still accepts connections
+LATE_RESPONSE_SECONDS = 0.5  # after a request's timeout: a response is late, but the request is not lost
 
 
 @dataclass
-class Asked:
-    """A request as its client knows it (monotonic seconds)."""
+class ClientRequest:
+    """A request as its client sees it. Instants are monotonic seconds, 0 if they have not come."""
 
-    trace: str
+    trace_id: str
     offering: str
     sidecar: str
     sent_at: float
-    waits: float
-    status: int = 0  # 0: no whole answer
-    answered_at: float = 0.0
-    left_at: float = 0.0  # its client closed the connection
-    lost: str = ""  # why it counts as lost
+    timeout_seconds: float
+    status: int = 0  # 0: no complete response
+    responded_at: float = 0.0
+    disconnected_at: float = 0.0  # when the client closed the connection without waiting for a response
+    loss_reason: str = ""  # why the request counts as lost; empty if it does not
 
 
 class Client:
-    def __init__(self, sidecar: SidecarProcess, asked: list[Asked], chance: Random) -> None:
-        self.sidecar, self.asked, self.chance = sidecar, asked, chance
+    """Sends requests to one sidecar and appends them to `requests`, which all clients share."""
+
+    def __init__(self, sidecar: SidecarProcess, requests: list[ClientRequest], rng: Random) -> None:
+        self.sidecar, self.requests, self.rng = sidecar, requests, rng
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
-        self.used = False  # the connection has carried a request
+        self.connection_used = False  # the connection has carried a request
 
-    async def run(self, until: float, pause: float) -> None:
-        """Asks one request after another."""
+    async def run(self, until: float, mean_pause_seconds: float) -> None:
+        """Sends one request after another until the instant `until` (monotonic seconds)."""
         while time.monotonic() < until:
-            await asyncio.sleep(self.chance.uniform(0, 2 * pause))
-            await self.ask()
+            await asyncio.sleep(self.rng.uniform(0, 2 * mean_pause_seconds))
+            await self.send_request()
         self.close()
 
-    async def ask(self) -> None:
-        offering = self.chance.choice(list(OFFERINGS))
-        trace = f"{self.chance.getrandbits(64):016x}"
-        for _ in range(2):  # once more, where the end of a kept connection crossed it
+    async def send_request(self) -> None:
+        offering = self.rng.choice(list(OFFERINGS))
+        trace_id = f"{self.rng.getrandbits(64):016x}"
+        # A second try follows where the sidecar may have closed a reused connection as the request was sent.
+        for _ in range(2):
             if not await self.connect():
                 return
-            waits = self.chance.uniform(0.2, LONGEST_DEADLINE)
-            asked = Asked(trace, offering, self.sidecar.name, time.monotonic(), waits)
-            crossed = self.used
-            if await self.converse(asked):
-                self.asked.append(asked)
+            timeout_seconds = self.rng.uniform(0.2, HARD_STOP_SECONDS)
+            request = ClientRequest(trace_id, offering, self.sidecar.name, time.monotonic(), timeout_seconds)
+            reused_connection = self.connection_used
+            if await self.exchange(request):
+                self.requests.append(request)
                 return
             self.close()
-            if not crossed:
-                asked.lost = f"its connection ended with no answer; {self.since_sigterm(asked.sent_at)}"
-                self.asked.append(asked)
+            if not reused_connection:
+                request.loss_reason = (
+                    f"its connection ended with no answer; {self.describe_send_time(request.sent_at)}"
+                )
+                self.requests.append(request)
                 return
 
-    def listener_closes(self) -> bool:
-        """New connections go on coming for up to 0.4 s after SIGTERM, as the protocol page tells."""
-        terminated_at = self.sidecar.terminated_at
-        return terminated_at is not None and time.monotonic() > terminated_at + CONNECTED_UNTIL
+    def listener_may_be_closed(self) -> bool:
+        """Whether the 0.4 s after SIGTERM have passed in which the sidecar still accepts connections."""
+        sigterm_sent_at = self.sidecar.sigterm_sent_at
+        return sigterm_sent_at is not None and time.monotonic() > sigterm_sent_at + CONNECT_WINDOW_SECONDS
 
-    def since_sigterm(self, at: float) -> str:
-        terminated_at = self.sidecar.terminated_at
-        return "no SIGTERM" if terminated_at is None else f"sent {at - terminated_at:.3f} s after SIGTERM"
+    def describe_send_time(self, sent_at: float) -> str:
+        sigterm_sent_at = self.sidecar.sigterm_sent_at
+        return (
+            "no SIGTERM"
+            if sigterm_sent_at is None
+            else f"sent {sent_at - sigterm_sent_at:.3f} s after SIGTERM"
+        )
 
     async def connect(self) -> bool:
+        """Opens a connection unless one is open; False if the sidecar does not accept one."""
         if self.streams is not None:
             return True
-        if self.listener_closes():
+        if self.listener_may_be_closed():
             await asyncio.sleep(0.05)
             return False
         try:
-            self.streams = await asyncio.open_connection(*self.sidecar.listen)
+            self.streams = await asyncio.open_connection(*self.sidecar.listen_address)
         except OSError:
             await asyncio.sleep(0.05)
             return False
-        self.used = False
+        self.connection_used = False
         return True
 
-    async def converse(self, asked: Asked) -> bool:
-        """False if the connection ended before a whole answer."""
+    async def exchange(self, request: ClientRequest) -> bool:
+        """Sends the request and reads the response; False if the connection ended before a complete response.
+
+        One request in twenty is abandoned instead: the client resets its connection within 50 ms.
+        """
         assert self.streams is not None
         reader, writer = self.streams
-        writer.write(self.request(asked))
-        self.used = True
-        if self.chance.random() < 0.05:
-            await asyncio.sleep(self.chance.uniform(0, 0.05))
+        writer.write(self.encode(request))
+        self.connection_used = True
+        if self.rng.random() < 0.05:
+            await asyncio.sleep(self.rng.uniform(0, 0.05))
             writer.transport.abort()
-            asked.left_at, self.streams = time.monotonic(), None
+            request.disconnected_at, self.streams = time.monotonic(), None
             return True
         try:
-            async with asyncio.timeout(asked.waits + LATE_ANSWER):
-                await self.receive(reader, asked)
+            async with asyncio.timeout(request.timeout_seconds + LATE_RESPONSE_SECONDS):
+                await self.read_response(reader, request)
         except TimeoutError:
-            asked.lost = "no answer in time"
+            request.loss_reason = "no answer in time"
             self.close()
         except (ConnectionError, asyncio.IncompleteReadError):
             return False
         return True
 
-    async def receive(self, reader: asyncio.StreamReader, asked: Asked) -> None:
+    async def read_response(self, reader: asyncio.StreamReader, request: ClientRequest) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
-        pairs = [line.lower().partition(b": ") for line in head.split(b"\r\n")]
-        headers = {name: value for name, _, value in pairs}
+        fields = [line.lower().partition(b": ") for line in head.split(b"\r\n")]
+        headers = {name: value for name, _, value in fields}
         await reader.readexactly(int(headers.get(b"content-length", 0)))
-        asked.status, asked.answered_at = int(head.split(b" ")[1]), time.monotonic()
+        request.status, request.responded_at = int(head.split(b" ")[1]), time.monotonic()
         if headers.get(b"connection") == b"close":
             self.close()
 
-    def request(self, asked: Asked) -> bytes:
-        method, more = ("GET", "")
-        if asked.offering != "look":
-            key = f"Idempotency-Key: {asked.trace}\r\n" if asked.offering == "post" else ""
-            method, more = "POST", f"{key}Content-Length: 2\r\n"
-        waits = f"X-Expires-In: {int(asked.waits * 1e6)}u\r\nX-Sidecar: {asked.sidecar}\r\n"
-        head = f"{method} /{asked.offering} HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {asked.trace}\r\n{waits}{more}"
+    def encode(self, request: ClientRequest) -> bytes:
+        method, body_headers = ("GET", "")
+        if request.offering != "look":
+            key = f"Idempotency-Key: {request.trace_id}\r\n" if request.offering == "post" else ""
+            method, body_headers = "POST", f"{key}Content-Length: 2\r\n"
+        headers = f"X-Expires-In: {int(request.timeout_seconds * 1e6)}u\r\nX-Sidecar: {request.sidecar}\r\n"
+        head = (
+            f"{method} /{request.offering} HTTP/1.1\r\nHost: x\r\n"
+            f"X-Trace-Id: {request.trace_id}\r\n{headers}{body_headers}"
+        )
         return f"{head}\r\n".encode() + (b"xy" if method == "POST" else b"")
 
     def close(self) -> None:
--- a/maddercart/rig/processes/discovery.py
+++ b/maddercart/rig/processes/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery stand-ins: one list of upstreams, and a service for each sidecar that tells it, or fails to."""
+"""Fake discovery services: one upstream list, and for each sidecar a service that serves it or fails to."""
 
 import asyncio
 import json
@@ -8,144 +8,154 @@
 from enum import Enum, auto
 from typing import Any
 
-EMPTY_LINE_EVERY = 2.0  # seconds, while a watch has nothing to tell
+KEEPALIVE_INTERVAL_SECONDS = 2.0  # between the empty lines that a watch sends
 
-Line = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 class Trouble(Enum):
-    """What calls to a service come to."""
+    """How calls to a service fail."""
 
     NONE = auto()
     UNAVAILABLE = auto()  # 503
     RESET = auto()
-    HANG = auto()  # connections come up, and nothing is answered
+    HANG = auto()  # connections are accepted, but no call is answered
 
 
 @dataclass(frozen=True)
-class Version:
-    """A change of the list, and when it was made (monotonic seconds)."""
+class ListVersion:
+    """A change of the upstream list, and when it was made (monotonic seconds)."""
 
-    number: int
+    sequence: int
     made_at: float
-    lines: list[Line]
+    entries: list[JsonObject]  # the upstreams that changed, as they are sent to the sidecars
 
 
-class Registry:
-    """The list of upstreams, version by version; what services tell of it."""
+class UpstreamRegistry:
+    """The upstream list with all its versions, shared by the services that serve it."""
 
-    def __init__(self, lines: list[Line]) -> None:
-        self.versions = [Version(0, time.monotonic(), lines)]
-        self.services: list[DiscoveryService] = []
+    def __init__(self, entries: list[JsonObject]) -> None:
+        self.versions = [ListVersion(0, time.monotonic(), entries)]
+        self.services: list[FakeDiscoveryService] = []
 
-    def whole(self) -> Line:
-        last = {line["host"]: line for version in self.versions for line in version.lines}
-        hosts = [line for line in last.values() if line["health"] != "DELETED"]
-        return {"seq": self.versions[-1].number, "whole": True, "hosts": hosts}
+    def snapshot(self) -> JsonObject:
+        """The complete list without deleted upstreams, as a discovery response."""
+        latest = {entry["host"]: entry for version in self.versions for entry in version.entries}
+        hosts = [entry for entry in latest.values() if entry["health"] != "DELETED"]
+        return {"seq": self.versions[-1].sequence, "whole": True, "hosts": hosts}
 
-    def since(self, number: int) -> Line:
-        last = {line["host"]: line for version in self.versions[number + 1 :] for line in version.lines}
-        return {"seq": self.versions[-1].number, "whole": False, "hosts": list(last.values())}
+    def changes_since(self, sequence: int) -> JsonObject:
+        """The upstreams that changed after the version `sequence`, as a discovery response."""
+        latest = {
+            entry["host"]: entry for version in self.versions[sequence + 1 :] for entry in version.entries
+        }
+        return {"seq": self.versions[-1].sequence, "whole": False, "hosts": list(latest.values())}
 
-    def change(self, *lines: Line) -> None:
-        self.versions.append(Version(len(self.versions), time.monotonic(), list(lines)))
+    def publish(self, *entries: JsonObject) -> None:
+        """Adds a version with these changed upstreams and sends it to all watches."""
+        self.versions.append(ListVersion(len(self.versions), time.monotonic(), list(entries)))
         for service in self.services:
-            service.tell()
+            service.notify_watches()
 
 
-class DiscoveryService:
-    """The service at one address. `written` holds when it wrote up to which version (monotonic seconds)."""
+class FakeDiscoveryService:
+    """A discovery service at one address. All instants are monotonic seconds."""
 
-    def __init__(self, registry: Registry) -> None:
+    def __init__(self, registry: UpstreamRegistry) -> None:
         self.registry = registry
-        self.trouble = Trouble.NONE
-        self.retired = False  # the configuration names another one: it does not come back
-        self.well_since = time.monotonic()
-        self.well_before: list[tuple[float, float]] = []  # earlier spans in which calls were answered
-        self.written: list[tuple[float, int]] = []
-        self.watches: dict[asyncio.StreamWriter, int] = {}  # and the version that each has
-        self.silent: set[asyncio.StreamWriter] = set()
-        self.readers: dict[asyncio.StreamWriter, asyncio.StreamReader] = {}
-        self.calls: list[float] = []
+        self.fault = Trouble.NONE
+        self.retired = False  # its sidecar is configured with another service: it does not recover any more
+        self.healthy_since = time.monotonic()
+        self.past_healthy_spans: list[tuple[float, float]] = []  # (start, end)
+        self.writes: list[tuple[float, int]] = []  # (instant, sequence of the version that was sent)
+        self.watches: dict[asyncio.StreamWriter, int] = {}  # sequence of the last version sent on each
+        self.silenced: set[asyncio.StreamWriter] = set()
+        self.readers: dict[asyncio.StreamWriter, asyncio.StreamReader] = {}  # of the watches
+        self.call_times: list[float] = []
         registry.services.append(self)
 
     async def start(self) -> str:
-        """Listens, and returns the address."""
-        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        """Starts to listen and returns the address as `host:port`."""
+        self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", 0)
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
-    def begin(self, trouble: Trouble) -> None:
-        """Calls fail from now on, and the watches that are open end."""
-        if self.trouble == Trouble.NONE:
-            self.well_before.append((self.well_since, time.monotonic()))
-        self.trouble = trouble
+    def begin(self, fault: Trouble) -> None:
+        """Makes all calls fail from now on and resets the open watches."""
+        if self.fault == Trouble.NONE:
+            self.past_healthy_spans.append((self.healthy_since, time.monotonic()))
+        self.fault = fault
         for writer in list(self.watches):
             writer.transport.abort()
         self.watches.clear()
 
     def recover(self) -> None:
-        if self.trouble != Trouble.NONE and not self.retired:
-            self.trouble, self.well_since = Trouble.NONE, time.monotonic()
-
-    def well(self) -> list[tuple[float, float]]:
-        """The spans in which calls were answered."""
-        now = [(self.well_since, float("inf"))] if self.trouble == Trouble.NONE else []
-        return [*self.well_before, *now]
-
-    def fall_silent(self) -> None:
-        """Open watches stay open and tell nothing more."""
-        self.silent.update(self.watches)
-
-    def tell(self) -> None:
-        for writer in [writer for writer in self.watches if writer not in self.silent]:
-            if self.readers[writer].at_eof():  # the sidecar has closed it: nothing is told there any more
+        if self.fault != Trouble.NONE and not self.retired:
+            self.fault, self.healthy_since = Trouble.NONE, time.monotonic()
+
+    def healthy_spans(self) -> list[tuple[float, float]]:
+        """The spans (start, end) in which calls are answered; the end of the current one is infinite."""
+        current = [(self.healthy_since, float("inf"))] if self.fault == Trouble.NONE else []
+        return [*self.past_healthy_spans, *current]
+
+    def silence_watches(self) -> None:
+        """Keeps the open watches open but sends nothing more on them."""
+        self.silenced.update(self.watches)
+
+    def notify_watches(self) -> None:
+        for writer in [writer for writer in self.watches if writer not in self.silenced]:
+            # A write to a watch that the sidecar has closed must not count as sent.
+            if self.readers[writer].at_eof():
                 del self.watches[writer]
             else:
-                self.write(writer, self.registry.since(self.watches[writer]))
+                self.send_version(writer, self.registry.changes_since(self.watches[writer]))
 
-    def write(self, writer: asyncio.StreamWriter, value: Line) -> None:
-        self.chunk(writer, json.dumps(value).encode() + b"\n")
-        self.watches[writer] = value["seq"]
-        self.written.append((time.monotonic(), value["seq"]))
+    def send_version(self, writer: asyncio.StreamWriter, response: JsonObject) -> None:
+        self.write_chunk(writer, json.dumps(response).encode() + b"\n")
+        self.watches[writer] = response["seq"]
+        self.writes.append((time.monotonic(), response["seq"]))
 
-    def chunk(self, writer: asyncio.StreamWriter, data: bytes) -> None:
+    def write_chunk(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                self.calls.append(time.monotonic())
-                if self.trouble == Trouble.RESET:
+                self.call_times.append(time.monotonic())
+                if self.fault == Trouble.RESET:
                     writer.transport.abort()
                     return
-                if self.trouble == Trouble.HANG:
+                if self.fault == Trouble.HANG:
                     await reader.read()
                     return
-                if self.trouble == Trouble.UNAVAILABLE:
+                if self.fault == Trouble.UNAVAILABLE:
                     writer.write(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
                 elif b"watch=1" in head:
                     self.readers[writer] = reader
-                    await self.watch(writer, int(head.split(b"after=")[1].split(b" ")[0]))
+                    await self.serve_watch(writer, int(head.split(b"after=")[1].split(b" ")[0]))
                     return
                 else:
-                    self.tell_whole(writer)
+                    self.send_snapshot(writer)
         writer.close()
 
-    def tell_whole(self, writer: asyncio.StreamWriter) -> None:
-        value = self.registry.whole()
-        body = json.dumps(value).encode()
+    def send_snapshot(self, writer: asyncio.StreamWriter) -> None:
+        response = self.registry.snapshot()
+        body = json.dumps(response).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-        self.written.append((time.monotonic(), value["seq"]))
+        self.writes.append((time.monotonic(), response["seq"]))
+
+    async def serve_watch(self, writer: asyncio.StreamWriter, after: int) -> None:
+        """Sends what changed since the version `after`, or a snapshot if there is no such version.
 
-    async def watch(self, writer: asyncio.StreamWriter, after: int) -> None:
+        Later versions follow by `notify_watches`.
+        """
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         known = after < len(self.registry.versions)
-        self.write(writer, self.registry.since(after) if known else self.registry.whole())
+        self.send_version(writer, self.registry.changes_since(after) if known else self.registry.snapshot())
         while not writer.is_closing() and writer in self.watches:
-            await asyncio.sleep(EMPTY_LINE_EVERY)
-            if writer not in self.silent:
-                self.chunk(writer, b"\n")
+            await asyncio.sleep(KEEPALIVE_INTERVAL_SECONDS)
+            if writer not in self.silenced:
+                self.write_chunk(writer, b"\n")
         self.watches.pop(writer, None)
-        self.silent.discard(writer)
+        self.silenced.discard(writer)
         self.readers.pop(writer, None)
--- a/maddercart/rig/processes/faulty.py
+++ b/maddercart/rig/processes/faulty.py
@@ -1,9 +1,10 @@
-"""Runs maddercart's command line in a process whose wall clock can be stepped and whose system calls fail.
+"""Runs maddercart's command line with a stepped wall clock and failing system calls.
 
     MADDERCART_RIG_WALL=FILE MADDERCART_RIG_FAULTS=SEED:SHARE python -m maddercart.rig.processes.faulty serve
 
-`FILE` holds by how many seconds the wall clock is off; another number steps it. The monotonic clock is
-left alone. `SHARE` of the system calls on sockets fail, or do a part of their work, as Linux documents it.
+`FILE` holds the offset of the wall clock in seconds; the clock steps when the number is changed. The
+monotonic clock is left alone. `SHARE` is the share of the calls on sockets that fail or do only a part of
+their work, in the ways that Linux documents.
 """
 
 import errno
@@ -14,9 +15,9 @@
 from random import Random
 from typing import Any
 
-WALL_VARIABLE = "MADDERCART_RIG_WALL"
+WALL_CLOCK_VARIABLE = "MADDERCART_RIG_WALL"
 FAULTS_VARIABLE = "MADDERCART_RIG_FAULTS"
-NANOSECONDS = 1_000_000_000
+NANOSECONDS_PER_SECOND = 1_000_000_000
 
 SOCKET_ERRORS = (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 ACCEPT_ERRORS = (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO, errno.ENETDOWN, errno.EINTR)
@@ -24,77 +25,80 @@
 RECEIVE_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 
-def step_wall_clock(file: Path) -> None:
-    """From now on this process reads a wall clock that is off by what the file says."""
-    true_time_ns = time.time_ns
+def install_wall_clock_offset(file: Path) -> None:
+    """Adds the offset in `file` (seconds) to every later read of this process's wall clock."""
+    real_time_ns = time.time_ns
 
     def offset_ns() -> int:
         try:
-            return int(float(file.read_text() or 0) * NANOSECONDS)
-        except (OSError, ValueError):  # it is being written
+            return int(float(file.read_text() or 0) * NANOSECONDS_PER_SECOND)
+        except (OSError, ValueError):  # the file is being rewritten
             return 0
 
     def stepped_time_ns() -> int:
-        return true_time_ns() + offset_ns()
+        return real_time_ns() + offset_ns()
 
     time.time_ns = stepped_time_ns
-    time.time = lambda: stepped_time_ns() / NANOSECONDS
+    time.time = lambda: stepped_time_ns() / NANOSECONDS_PER_SECOND
 
 
-def fail_system_calls(seed: int, share: float) -> None:
-    """From now on so many of the calls on new sockets fail or are short."""
-    chance = Random(seed)
+def inject_socket_faults(seed: int, share: float) -> None:
+    """Makes a share (0 to 1) of the calls on sockets that are made from now on fail, or transfer less."""
+    rng = Random(seed)
 
-    def fails() -> bool:
-        return chance.random() < share
+    def draw_fault() -> bool:
+        return rng.random() < share
 
-    def error(among: tuple[int, ...]) -> OSError:
-        number = chance.choice(among)
+    def make_error(numbers: tuple[int, ...]) -> OSError:
+        number = rng.choice(numbers)
         return OSError(number, os.strerror(number))
 
     class FaultySocket(socket.socket):
-        """A socket whose calls fail now and then; what the kernel would end is ended here too."""
+        """A socket whose calls fail at random.
 
-        connects = False  # it was connected by this process
+        An error that means the end of the connection also shuts it down, as the kernel would.
+        """
+
+        outgoing = False  # this process opened the connection
 
         def __init__(self, *args: Any, **options: Any) -> None:
-            made_here = options.get("fileno") is None and len(args) < 4
-            if made_here and fails():
-                raise error(SOCKET_ERRORS)
+            is_new = options.get("fileno") is None and len(args) < 4
+            if is_new and draw_fault():
+                raise make_error(SOCKET_ERRORS)
             super().__init__(*args, **options)
 
         def accept(self) -> tuple[socket.socket, Any]:
-            if fails():
-                raise error(ACCEPT_ERRORS)
+            if draw_fault():
+                raise make_error(ACCEPT_ERRORS)
             accepted, peer = super().accept()
             return FaultySocket(fileno=accepted.detach()), peer
 
         def connect_ex(self, address: Any) -> int:
-            if fails():
-                return chance.choice(CONNECT_ERRORS)
-            self.connects = True
+            if draw_fault():
+                return rng.choice(CONNECT_ERRORS)
+            self.outgoing = True
             result = super().connect_ex(address)
-            return errno.EINTR if result == errno.EINPROGRESS and fails() else result
+            return errno.EINTR if result == errno.EINPROGRESS and draw_fault() else result
 
         def recv(self, size: int, flags: int = 0) -> bytes:
-            if self.connects and not flags and fails():
+            if self.outgoing and not flags and draw_fault():
                 self.shutdown(socket.SHUT_RDWR)
-                raise error(RECEIVE_ERRORS)
-            return super().recv(min(size, 7) if not flags and fails() else size, flags)
+                raise make_error(RECEIVE_ERRORS)
+            return super().recv(min(size, 7) if not flags and draw_fault() else size, flags)
 
         def send(self, data: Any, flags: int = 0) -> int:
-            return super().send(data[:5] if fails() else data, flags)
+            return super().send(data[:5] if draw_fault() else data, flags)
 
     socket.socket = FaultySocket  # type: ignore[misc]
 
 
 def main() -> None:
-    """Puts the faults in place before anything of the program is loaded."""
-    if file := os.environ.get(WALL_VARIABLE):
-        step_wall_clock(Path(file))
+    """Installs the faults before any module of the program is imported."""
+    if file := os.environ.get(WALL_CLOCK_VARIABLE):
+        install_wall_clock_offset(Path(file))
     if faults := os.environ.get(FAULTS_VARIABLE):
         seed, _, share = faults.partition(":")
-        fail_system_calls(int(seed), float(share))
+        inject_socket_faults(int(seed), float(share))
     from maddercart.cli import app
 
     app(prog_name="maddercart")
--- a/maddercart/rig/processes/judge.py
+++ b/maddercart/rig/processes/judge.py
@@ -1,114 +1,145 @@
-"""Judges a soak by what clients, upstreams and discovery noted; shares no code with the sidecar.
+"""Checks a soak against the operators' rules by what clients, upstreams and discovery services recorded.
 
-What counts as told, and each bound, is written out here from the operators' pages.
+It shares no code with the sidecar: when a change counts as told to a sidecar, and each bound, is stated here
+as the operators' documentation has it.
 """
 
 from collections import defaultdict
 
-from maddercart.rig.processes.clients import Asked
-from maddercart.rig.processes.plan import Happened, Life
+from maddercart.rig.processes.clients import ClientRequest
+from maddercart.rig.processes.plan import ProcessRun, SoakRecord
 from maddercart.rig.processes.sidecar import GRACE
 from maddercart.rig.processes.tier import Tier
 from maddercart.rig.processes.upstreams import Attempt
 
-HOLD_UP = 0.15 + 0.05  # seconds: between a sidecar's look at its clock and a write, and on sockets
-TOLD_WITHIN = 6.0  # seconds after discovery had a change and could be reached
-LEFT_WITHIN = 0.1 + 0.05  # seconds after its client left in which an attempt may still begin
-DEADLINE_SLACK = 0.15  # seconds
+# A sidecar may take 0.15 s from reading its clock to the write, and the sockets 0.05 s.
+SEND_DELAY_SECONDS = 0.15 + 0.05
+TOLD_WITHIN_SECONDS = 6.0  # after a change of the list, if discovery can be reached
+DISCONNECT_NOTICE_SECONDS = 0.1 + 0.05  # after its client has disconnected, an attempt may still begin
+DEADLINE_TOLERANCE_SECONDS = 0.15
 NEVER = float("inf")
 
 
-class Judge:
-    def __init__(self, tier: Tier, happened: Happened) -> None:
-        self.tier, self.happened = tier, happened
+class RuleChecker:
+    """Finds the violations of the rules in one soak. All instants are monotonic seconds."""
 
-    def broken(self) -> list[str]:
-        """A line for each break of a rule."""
-        return [*self.lost(), *self.duplicates(), *self.drains(), *self.attempts(), *self.crashes()]
+    def __init__(self, tier: Tier, record: SoakRecord) -> None:
+        self.tier, self.record = tier, record
+
+    def violations(self) -> list[str]:
+        """One line for each violation."""
+        return [
+            *self.lost_requests(),
+            *self.duplicates(),
+            *self.attempts_after_drains(),
+            *self.ill_timed_attempts(),
+            *self.crashes(),
+        ]
 
     def crashes(self) -> list[str]:
-        codes = [code for code in self.happened.exit_codes if code != 0]
-        codes += [code for sidecar in self.tier.sidecars for code in sidecar.crashes]
+        codes = [code for code in self.record.exit_codes if code != 0]
+        codes += [code for sidecar in self.tier.sidecars for code in sidecar.crash_exit_codes]
         return [f"crash: a sidecar ended with {code}" for code in codes]
 
     # -- requests
 
-    def excused(self, asked: Asked) -> bool:
-        """Its sidecar was killed while it held the request."""
-        ended = asked.answered_at or asked.sent_at + asked.waits + 1
-        lives = [life for life in self.happened.lives if life.sidecar == asked.sidecar and life.killed]
-        return any(asked.sent_at - 0.1 <= life.ended_at <= ended for life in lives)
+    def lost_by_kill(self, request: ClientRequest) -> bool:
+        """Whether the sidecar was killed while it held the request."""
+        ended_at = request.responded_at or request.sent_at + request.timeout_seconds + 1
+        runs = [run for run in self.record.runs if run.sidecar == request.sidecar and run.killed]
+        return any(request.sent_at - 0.1 <= run.ended_at <= ended_at for run in runs)
 
-    def lost(self) -> list[str]:
-        lost = [asked for asked in self.tier.asked if asked.lost and not self.excused(asked)]
+    def lost_requests(self) -> list[str]:
+        lost = [
+            request for request in self.tier.asked if request.loss_reason and not self.lost_by_kill(request)
+        ]
         return [
-            f"lost: {asked.trace} at {asked.sidecar}, {asked.sent_at:.3f}: {asked.lost}" for asked in lost
+            f"lost: {request.trace_id} at {request.sidecar}, {request.sent_at:.3f}: {request.loss_reason}"
+            for request in lost
         ]
 
     def duplicates(self) -> list[str]:
+        """Requests of the offering `once` that ran more than once."""
         runs: dict[str, int] = defaultdict(int)
         for attempt in self.tier.attempts:
-            runs[attempt.trace] += attempt.ran
-        once = {asked.trace for asked in self.tier.asked if asked.offering == "once"}
-        return [f"duplicate: {trace} ran {runs[trace]} times" for trace in sorted(once) if runs[trace] > 1]
-
-    def attempts(self) -> list[str]:
-        """None begins after its client has left, and none is told more time than its client has."""
-        asked = {one.trace: one for one in self.tier.asked}
-        broken = []
+            runs[attempt.trace_id] += attempt.ran
+        once = {request.trace_id for request in self.tier.asked if request.offering == "once"}
+        return [
+            f"duplicate: {trace_id} ran {runs[trace_id]} times"
+            for trace_id in sorted(once)
+            if runs[trace_id] > 1
+        ]
+
+    def ill_timed_attempts(self) -> list[str]:
+        """Attempts that began after their client had disconnected, or with more time than it has left."""
+        requests = {request.trace_id: request for request in self.tier.asked}
+        violations = []
         for attempt in self.tier.attempts:
-            if (one := asked.get(attempt.trace)) is None:
+            if (request := requests.get(attempt.trace_id)) is None:
                 continue
-            if one.left_at and attempt.first_byte_at > one.left_at + LEFT_WITHIN:
-                late = attempt.first_byte_at - one.left_at
-                broken.append(f"lost: {one.trace} was begun {late:.3f} s after its client left")
-            left = one.sent_at + one.waits - attempt.first_byte_at
-            if attempt.expires_in > left + DEADLINE_SLACK:
-                broken.append(f"deadline: {one.trace} was told {attempt.expires_in:.3f} s of {left:.3f}")
-        return broken
+            if (
+                request.disconnected_at
+                and attempt.first_byte_at > request.disconnected_at + DISCONNECT_NOTICE_SECONDS
+            ):
+                late = attempt.first_byte_at - request.disconnected_at
+                violations.append(f"lost: {request.trace_id} was begun {late:.3f} s after its client left")
+            left = request.sent_at + request.timeout_seconds - attempt.first_byte_at
+            if attempt.expires_in > left + DEADLINE_TOLERANCE_SECONDS:
+                violations.append(
+                    f"deadline: {request.trace_id} was told {attempt.expires_in:.3f} s of {left:.3f}"
+                )
+        return violations
 
     # -- drains
 
-    def drains(self) -> list[str]:
-        broken = []
+    def attempts_after_drains(self) -> list[str]:
+        """Attempts that went to a draining or deleted upstream after the grace time was over."""
+        violations = []
         for attempt in self.tier.attempts:
-            version = self.closed_by(attempt)
-            life = self.life(attempt)
-            if version is None or life is None:
+            sequence = self.removed_in(attempt)
+            run = self.run_of(attempt)
+            if sequence is None or run is None:
                 continue
-            late = attempt.first_byte_at - self.told(life, version)
-            if late > GRACE + HOLD_UP:
+            late = attempt.first_byte_at - self.told_at(run, sequence)
+            if late > GRACE + SEND_DELAY_SECONDS:
                 where = f"{attempt.host} from {attempt.sidecar} at {attempt.first_byte_at:.3f}"
-                broken.append(f"drain: {attempt.trace} to {where}, {late:.3f} s after it was told")
-        return broken
+                violations.append(f"drain: {attempt.trace_id} to {where}, {late:.3f} s after it was told")
+        return violations
 
-    def closed_by(self, attempt: Attempt) -> int | None:
-        """The version by which its upstream had left, None if it was serving."""
-        closed: int | None = None
+    def removed_in(self, attempt: Attempt) -> int | None:
+        """The version that took the attempt's upstream out of service, None if it was serving."""
+        removed_in: int | None = None
         for version in self.tier.registry.versions:
             if version.made_at > attempt.first_byte_at:
                 break
-            for line in version.lines:
-                if line["host"] == attempt.host:
-                    serving = line["health"] == "SERVING"
-                    closed = None if serving else version.number if closed is None else closed
-        return closed
-
-    def life(self, attempt: Attempt) -> Life | None:
-        lives = [life for life in self.happened.lives if life.sidecar == attempt.sidecar]
-        at = attempt.first_byte_at
-        return next((life for life in reversed(lives) if life.started_at <= at), None)
-
-    def told(self, life: Life, version: int) -> float:
-        """When a version counts as told to a process: as it was written, or 6 s after it could be had."""
-        made_at = self.tier.registry.versions[version].made_at
-        told = NEVER
-        for use in [use for use in self.happened.uses if use.sidecar == life.sidecar]:
-            writes = [at for at, number in use.service.written if number >= version]
-            told = min([told, *(at for at in writes if life.started_at <= at <= life.ended_at)])
-            start = max(made_at, use.since, life.started_at)
-            for well_from, well_until in use.service.well():
-                had = max(start, well_from)
-                if had + TOLD_WITHIN <= min(well_until, use.until):
-                    told = min(told, had + TOLD_WITHIN)
-        return told
+            for entry in version.entries:
+                if entry["host"] == attempt.host:
+                    serving = entry["health"] == "SERVING"
+                    removed_in = None if serving else version.sequence if removed_in is None else removed_in
+        return removed_in
+
+    def run_of(self, attempt: Attempt) -> ProcessRun | None:
+        """The process that sent the attempt, None if its sidecar had not been started."""
+        runs = [run for run in self.record.runs if run.sidecar == attempt.sidecar]
+        first_byte_at = attempt.first_byte_at
+        return next((run for run in reversed(runs) if run.started_at <= first_byte_at), None)
+
+    def told_at(self, run: ProcessRun, sequence: int) -> float:
+        """When a version counts as told to a process, `NEVER` if it does not.
+
+        That is when a service wrote it to the sidecar, or at the latest 6 s after the sidecar could have
+        fetched it from a service that went on answering all that time.
+        """
+        made_at = self.tier.registry.versions[sequence].made_at
+        told_at = NEVER
+        for use in [use for use in self.record.service_uses if use.sidecar == run.sidecar]:
+            write_times = [written_at for written_at, written in use.service.writes if written >= sequence]
+            told_at = min(
+                [told_at, *(instant for instant in write_times if run.started_at <= instant <= run.ended_at)]
+            )
+            available_from = max(made_at, use.since, run.started_at)
+            for healthy_from, healthy_until in use.service.healthy_spans():
+                reachable_at = max(available_from, healthy_from)
+                if reachable_at + TOLD_WITHIN_SECONDS <= min(healthy_until, use.until):
+                    told_at = min(told_at, reachable_at + TOLD_WITHIN_SECONDS)
+        return told_at
--- a/maddercart/rig/processes/peering.py
+++ b/maddercart/rig/processes/peering.py
@@ -1,43 +1,52 @@
-"""The datagrams between sidecars: each knows the others, and all of them at once, by addresses of a relay."""
+"""Relays the datagrams between sidecars.
+
+The relay has one address for each sidecar and one for the whole group; these are the peer addresses in the
+sidecars' configurations.
+"""
 
 import asyncio
 from typing import Any
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host, port
 
 
 class PeerRelay:
-    """Carries datagrams between sidecars, each from the address that stands for its sender."""
+    """Forwards datagrams between sidecars, each from the relay address of its sender."""
 
-    def __init__(self, sidecars: list[Address]) -> None:
-        self.sidecars = sidecars
-        self.transports: list[asyncio.DatagramTransport] = []
+    def __init__(self, sidecar_addresses: list[Address]) -> None:
+        self.sidecar_addresses = sidecar_addresses
+        self.transports: list[asyncio.DatagramTransport] = []  # one for each sidecar, then the group's
 
     async def start(self) -> tuple[list[Address], Address]:
-        """Returns the address that stands for each sidecar, and the one for all."""
+        """Returns the relay addresses of the sidecars, in their order, and the group address."""
         loop = asyncio.get_running_loop()
-        for to in [*range(len(self.sidecars)), None]:
+        for target in [*range(len(self.sidecar_addresses)), None]:
             transport, _ = await loop.create_datagram_endpoint(
-                lambda to=to: Receiver(self, to),  # type: ignore[misc]
+                lambda target=target: RelayProtocol(self, target),  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
             self.transports.append(transport)
-        *each, everyone = [transport.get_extra_info("sockname") for transport in self.transports]
-        return each, everyone
-
-    def carry(self, data: bytes, sender: Address, to: int | None) -> None:
-        if sender not in self.sidecars:
+        *peer_addresses, group_address = [
+            transport.get_extra_info("sockname") for transport in self.transports
+        ]
+        return peer_addresses, group_address
+
+    def forward(self, data: bytes, sender: Address, target: int | None) -> None:
+        """Sends a datagram on to the sidecar with the index `target`; None: to all but the sender."""
+        if sender not in self.sidecar_addresses:
             return
-        source = self.sidecars.index(sender)
-        targets = range(len(self.sidecars)) if to is None else [to]
-        for target in targets:
-            if target != source:
-                self.transports[source].sendto(data, self.sidecars[target])
+        source = self.sidecar_addresses.index(sender)
+        indices = range(len(self.sidecar_addresses)) if target is None else [target]
+        for index in indices:
+            if index != source:
+                self.transports[source].sendto(data, self.sidecar_addresses[index])
+
 
+class RelayProtocol(asyncio.DatagramProtocol):
+    """Receives on one relay address; `target` is the index of its sidecar, None for the group address."""
 
-class Receiver(asyncio.DatagramProtocol):
-    def __init__(self, relay: PeerRelay, to: int | None) -> None:
-        self.relay, self.to = relay, to
+    def __init__(self, relay: PeerRelay, target: int | None) -> None:
+        self.relay, self.target = relay, target
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.relay.carry(data, addr, self.to)
+        self.relay.forward(data, addr, self.target)
--- a/maddercart/rig/processes/plan.py
+++ b/maddercart/rig/processes/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a soak: faults of discovery, clocks, signals and crowds, drawn by a seed."""
+"""The faults of a soak, drawn from its seed: of discovery, clocks, upstreams, and signals to the sidecars."""
 
 import asyncio
 import signal
@@ -6,46 +6,50 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from maddercart.rig.processes.discovery import DiscoveryService, Trouble
-from maddercart.rig.processes.sidecar import LONGEST_DEADLINE, SidecarProcess
+from maddercart.rig.processes.discovery import FakeDiscoveryService, Trouble
+from maddercart.rig.processes.sidecar import HARD_STOP_SECONDS, SidecarProcess
 from maddercart.rig.processes.tier import Tier
 
-KILLED_AFTER = LONGEST_DEADLINE + 0.7  # seconds from SIGTERM to SIGKILL
-CLOCK_STEPS = (-3600.0, -5.0, -3.0, 0.0, 3.0, 20.0, 400.0, 3600.0)  # seconds
-CROWD = 60  # connections
+SIGKILL_DELAY_SECONDS = HARD_STOP_SECONDS + 0.7  # after SIGTERM
+CLOCK_OFFSETS_SECONDS = (-3600.0, -5.0, -3.0, 0.0, 3.0, 20.0, 400.0, 3600.0)
+IDLE_CONNECTIONS = 60
 
 
 @dataclass
-class Life:
-    """One process of a sidecar, in monotonic seconds."""
+class ProcessRun:
+    """One process of a sidecar, from its start to its end (monotonic seconds)."""
 
     sidecar: str
     started_at: float
     ended_at: float = float("inf")
-    killed: bool = False  # by SIGKILL, with no SIGTERM ahead
+    killed: bool = False  # by SIGKILL with no SIGTERM before it
 
 
 @dataclass
 class ServiceUse:
-    """From when a sidecar was told to follow a service."""
+    """The span in which a sidecar was configured with a discovery service (monotonic seconds)."""
 
     sidecar: str
-    service: DiscoveryService
+    service: FakeDiscoveryService
     since: float
     until: float = float("inf")
 
 
 @dataclass
-class Happened:
-    """What the judge has to know of a soak beside what clients and upstreams noted."""
+class SoakRecord:
+    """What the rule checker needs beside the records of clients, upstreams and discovery services."""
 
-    lives: list[Life] = field(default_factory=list)
-    uses: list[ServiceUse] = field(default_factory=list)
+    runs: list[ProcessRun] = field(default_factory=list)
+    service_uses: list[ServiceUse] = field(default_factory=list)
     exit_codes: list[int] = field(default_factory=list)
     events: list[str] = field(default_factory=list)
 
 
-class Plan:
+class FaultSchedule:
+    """Plays faults at random instants and records what the rule checker has to know of them."""
+
+    # The names appear in the results; a repeated one is drawn more often. Every event steps a clock first,
+    # and "step" does nothing else.
     EVENTS = (
         "outage",
         "outage",
@@ -60,149 +64,158 @@
         "drain",
     )
 
-    def __init__(self, tier: Tier, happened: Happened) -> None:
-        self.tier, self.chance, self.happened = tier, tier.chance, happened
+    def __init__(self, tier: Tier, record: SoakRecord) -> None:
+        self.tier, self.rng, self.record = tier, tier.rng, record
         self.tasks: list[asyncio.Task[None]] = []
 
-    def began(self, sidecar: SidecarProcess) -> None:
-        """A process of a sidecar was started."""
+    def record_start(self, sidecar: SidecarProcess) -> None:
+        """Records that a process of the sidecar was started just now."""
         now = time.monotonic()
-        self.happened.lives.append(Life(sidecar.name, now))
-        self.happened.uses.append(ServiceUse(sidecar.name, self.tier.services[sidecar.name], now))
-
-    async def run(self, span: float) -> None:
-        """Plays events for so many seconds, then ends every sidecar by SIGTERM and SIGKILL."""
-        begun = time.monotonic()
-        count = self.chance.randrange(6, 10)
-        times = sorted(self.chance.uniform(0.5, span - 3) for _ in range(count))
-        kinds = [self.chance.choice(self.EVENTS) for _ in times]
-        for at, kind in zip(times, kinds, strict=True):
-            await asyncio.sleep(max(0.0, begun + at - time.monotonic()))
-            self.happened.events.append(f"{at:.1f} {kind}")
-            self.step_some_clock()
-            self.tasks.append(asyncio.create_task(self.play(kind)))
-        await asyncio.sleep(max(0.0, begun + span - KILLED_AFTER - time.monotonic()))
+        self.record.runs.append(ProcessRun(sidecar.name, now))
+        self.record.service_uses.append(ServiceUse(sidecar.name, self.tier.services[sidecar.name], now))
+
+    async def run(self, duration_seconds: float) -> None:
+        """Plays six to nine events, then stops all sidecars; `duration_seconds` covers both."""
+        started_at = time.monotonic()
+        count = self.rng.randrange(6, 10)
+        offsets = sorted(self.rng.uniform(0.5, duration_seconds - 3) for _ in range(count))
+        events = [self.rng.choice(self.EVENTS) for _ in offsets]
+        for offset, event in zip(offsets, events, strict=True):
+            await asyncio.sleep(max(0.0, started_at + offset - time.monotonic()))
+            self.record.events.append(f"{offset:.1f} {event}")
+            self.step_random_clock()
+            self.tasks.append(asyncio.create_task(self.play(event)))
+        await asyncio.sleep(
+            max(0.0, started_at + duration_seconds - SIGKILL_DELAY_SECONDS - time.monotonic())
+        )
         await asyncio.gather(*self.tasks)
         await asyncio.gather(*(self.terminate(sidecar) for sidecar in self.tier.sidecars))
 
-    def step_some_clock(self) -> None:
-        self.chance.choice(self.tier.sidecars).step_wall_clock(self.chance.choice(CLOCK_STEPS))
+    def step_random_clock(self) -> None:
+        self.rng.choice(self.tier.sidecars).step_wall_clock(self.rng.choice(CLOCK_OFFSETS_SECONDS))
 
-    async def play(self, kind: str) -> None:
-        sidecar = self.chance.choice(self.tier.sidecars)
-        match kind:
+    async def play(self, event: str) -> None:
+        sidecar = self.rng.choice(self.tier.sidecars)
+        match event:
             case "outage":
-                await self.outage()
+                await self.discovery_outage()
             case "silence":
                 for service in self.tier.services.values():
-                    service.fall_silent()
-                await asyncio.sleep(self.chance.uniform(0, 1))
-                self.drain()
+                    service.silence_watches()
+                await asyncio.sleep(self.rng.uniform(0, 1))
+                self.drain_upstreams()
             case "move":
-                for _ in range(self.chance.randrange(1, 5)):
-                    await self.move(sidecar)
-                    await asyncio.sleep(self.chance.uniform(0.05, 0.5))
+                for _ in range(self.rng.randrange(1, 5)):
+                    await self.move_discovery(sidecar)
+                    await asyncio.sleep(self.rng.uniform(0.05, 0.5))
             case "term":
                 await self.terminate(sidecar)
-                await self.start_again(sidecar)
+                await self.restart(sidecar)
             case "kill":
                 await self.kill(sidecar)
-                await self.start_again(sidecar)
+                await self.restart(sidecar)
             case "crowd":
-                await self.crowd(sidecar)
+                await self.open_idle_connections(sidecar)
             case "hang":
-                upstream = self.chance.choice(self.tier.upstreams)
+                upstream = self.rng.choice(self.tier.upstreams)
                 upstream.hangs = True
-                await asyncio.sleep(self.chance.uniform(0.5, 3))
+                await asyncio.sleep(self.rng.uniform(0.5, 3))
                 upstream.hangs = False
             case "drain":
-                self.drain()
+                self.drain_upstreams()
 
-    async def outage(self) -> None:
-        """Of one sidecar's service or of all, with a drain in it or right after it."""
-        trouble = self.chance.choice([Trouble.UNAVAILABLE, Trouble.RESET, Trouble.HANG])
+    async def discovery_outage(self) -> None:
+        """Fails the discovery service of one sidecar or of all, with a drain during or right after it."""
+        fault = self.rng.choice([Trouble.UNAVAILABLE, Trouble.RESET, Trouble.HANG])
         names = list(self.tier.services)
-        struck = self.chance.choice([names, self.chance.sample(names, 1)])
-        for name in struck:
-            self.tier.services[name].begin(trouble)
-        within = self.chance.random() < 0.5
-        await asyncio.sleep(self.chance.uniform(0.5, 4))
-        if within:
-            self.drain()
-        await asyncio.sleep(self.chance.uniform(0, 4))
-        for name in struck:
-            for service in [self.tier.services[name], *self.tier.former[name]]:
+        affected = self.rng.choice([names, self.rng.sample(names, 1)])
+        for name in affected:
+            self.tier.services[name].begin(fault)
+        drain_during_outage = self.rng.random() < 0.5
+        await asyncio.sleep(self.rng.uniform(0.5, 4))
+        if drain_during_outage:
+            self.drain_upstreams()
+        await asyncio.sleep(self.rng.uniform(0, 4))
+        for name in affected:
+            for service in [self.tier.services[name], *self.tier.former_services[name]]:
                 service.recover()
-        if not within:
-            self.drain()
-
-    def drain(self) -> None:
-        """One or two drain or go; one that had left before comes back, newly started."""
-        states = {line["host"]: line["health"] for line in self.tier.registry.whole()["hosts"]}
-        serving = [one for one in self.tier.upstreams if states.get(one.host) == "SERVING"]
-        left = [one for one in self.tier.upstreams if one not in serving]
-        if left and len(serving) < 5:
-            back = self.chance.choice(left)
-            self.tier.registry.change(self.tier.line(back, "SERVING", time.time() * 1000))
-        health = self.chance.choice(["DRAINING", "DRAINING", "DELETED"])
-        self.tier.change(health, *self.chance.sample(serving, min(2, max(0, len(serving) - 3))))
-
-    async def move(self, sidecar: SidecarProcess) -> None:
+        if not drain_during_outage:
+            self.drain_upstreams()
+
+    def drain_upstreams(self) -> None:
+        """Drains or deletes up to two upstreams, but leaves three of the serving ones.
+
+        If fewer than five are serving, one that was taken out before comes back first, as newly started.
+        """
+        health_by_host = {entry["host"]: entry["health"] for entry in self.tier.registry.snapshot()["hosts"]}
+        serving = [
+            upstream for upstream in self.tier.upstreams if health_by_host.get(upstream.host) == "SERVING"
+        ]
+        removed = [upstream for upstream in self.tier.upstreams if upstream not in serving]
+        if removed and len(serving) < 5:
+            returning = self.rng.choice(removed)
+            self.tier.registry.publish(self.tier.entry(returning, "SERVING", time.time() * 1000))
+        health = self.rng.choice(["DRAINING", "DRAINING", "DELETED"])
+        self.tier.change(health, *self.rng.sample(serving, min(2, max(0, len(serving) - 3))))
+
+    async def move_discovery(self, sidecar: SidecarProcess) -> None:
+        """Configures the sidecar with a new discovery service and retires the old one 1.5 s later."""
         service = await self.tier.move_discovery(sidecar)
-        sidecar.send(signal.SIGHUP)
+        sidecar.send_signal(signal.SIGHUP)
         now = time.monotonic()
-        for use in self.happened.uses:
+        for use in self.record.service_uses:
             if use.sidecar == sidecar.name:
                 use.until = min(use.until, now)
-        self.happened.uses.append(ServiceUse(sidecar.name, service, now))
-        former = self.tier.former[sidecar.name][-1]
-        self.tasks.append(asyncio.create_task(self.close_later(former)))
+        self.record.service_uses.append(ServiceUse(sidecar.name, service, now))
+        former = self.tier.former_services[sidecar.name][-1]
+        self.tasks.append(asyncio.create_task(self.retire_later(former)))
 
-    async def close_later(self, former: DiscoveryService) -> None:
+    async def retire_later(self, service: FakeDiscoveryService) -> None:
         await asyncio.sleep(1.5)
-        former.retired = True
-        former.begin(Trouble.RESET)
+        service.retired = True
+        service.begin(Trouble.RESET)
 
-    async def crowd(self, sidecar: SidecarProcess) -> None:
-        """Connections that say nothing, all at once."""
+    async def open_idle_connections(self, sidecar: SidecarProcess) -> None:
+        """Opens many connections, sends nothing on them and resets them after at most 1.5 s."""
         writers: list[asyncio.StreamWriter] = []
-        for _ in range(CROWD):
+        for _ in range(IDLE_CONNECTIONS):
             with suppress(OSError):
-                _, writer = await asyncio.open_connection(*sidecar.listen)
+                _, writer = await asyncio.open_connection(*sidecar.listen_address)
                 writers.append(writer)
-        await asyncio.sleep(self.chance.uniform(0.1, 1.5))
+        await asyncio.sleep(self.rng.uniform(0.1, 1.5))
         for writer in writers:
             writer.transport.abort()
 
-    def life(self, sidecar: SidecarProcess) -> Life:
-        return next(life for life in reversed(self.happened.lives) if life.sidecar == sidecar.name)
+    def latest_run(self, sidecar: SidecarProcess) -> ProcessRun:
+        return next(run for run in reversed(self.record.runs) if run.sidecar == sidecar.name)
 
     async def terminate(self, sidecar: SidecarProcess) -> None:
-        """SIGTERM, and SIGKILL as early as it may come."""
-        if not sidecar.running():
+        """Sends SIGTERM, and SIGKILL after the shortest time that the sidecar must be given."""
+        if not sidecar.is_running():
             return
-        code = await asyncio.to_thread(sidecar.end, signal.SIGTERM, KILLED_AFTER)
-        self.happened.exit_codes.append(code)
-        self.ended(sidecar, killed=False)
+        code = await asyncio.to_thread(sidecar.stop, signal.SIGTERM, SIGKILL_DELAY_SECONDS)
+        self.record.exit_codes.append(code)
+        self.record_end(sidecar, killed=False)
 
     async def kill(self, sidecar: SidecarProcess) -> None:
-        if sidecar.running():
-            await asyncio.to_thread(sidecar.end, signal.SIGKILL)
-            self.ended(sidecar, killed=True)
-
-    def ended(self, sidecar: SidecarProcess, killed: bool) -> None:
-        now, life = time.monotonic(), self.life(sidecar)
-        life.ended_at, life.killed = now, killed
-        for use in self.happened.uses:
+        if sidecar.is_running():
+            await asyncio.to_thread(sidecar.stop, signal.SIGKILL)
+            self.record_end(sidecar, killed=True)
+
+    def record_end(self, sidecar: SidecarProcess, killed: bool) -> None:
+        """Records that the process of the sidecar ended just now."""
+        now, run = time.monotonic(), self.latest_run(sidecar)
+        run.ended_at, run.killed = now, killed
+        for use in self.record.service_uses:
             if use.sidecar == sidecar.name:
                 use.until = min(use.until, now)
 
-    async def start_again(self, sidecar: SidecarProcess) -> None:
-        """By the list as it is, or as it was at its last start."""
-        if sidecar.running():
+    async def restart(self, sidecar: SidecarProcess) -> None:
+        """Starts the sidecar unless it runs, with the current upstream list or an earlier one as `known`."""
+        if sidecar.is_running():
             return
-        if self.chance.random() < 0.5:
-            sidecar.configure(known=self.tier.registry.whole())
+        if self.rng.random() < 0.5:
+            sidecar.configure(known=self.tier.registry.snapshot())
         sidecar.start()
-        self.began(sidecar)
+        self.record_start(sidecar)
         await asyncio.to_thread(sidecar.wait_until_ready)
--- a/maddercart/rig/processes/sidecar.py
+++ b/maddercart/rig/processes/sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar as operators start it, in a process of its own whose wall clock and system calls are at fault."""
+"""Runs a sidecar as operators start it, in its own process with a stepped clock and failing system calls."""
 
 import json
 import os
@@ -10,102 +10,121 @@
 from pathlib import Path
 from typing import Any
 
-from maddercart.rig.processes.faulty import FAULTS_VARIABLE, WALL_VARIABLE
+from maddercart.rig.processes.faulty import FAULTS_VARIABLE, WALL_CLOCK_VARIABLE
 
-ASK_WITHIN, GRACE, LONGEST_DEADLINE = 10.0, 1.0, 1.5  # seconds, as the settings tell
+# The settings `ask_within`, `stop_sending_within` and `hard_stop`, in seconds.
+ASK_WITHIN_SECONDS, GRACE, HARD_STOP_SECONDS = 10.0, 1.0, 1.5
+# The semantics of each offering, as the settings write them, by its name.
 OFFERINGS = {"look": "free", "post": "guarded", "once": "single_shot"}
 
 
-def free_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> tuple[str, int]:
-    with socket.socket(socket.AF_INET, kind) as sock:
+def find_free_address(socket_kind: socket.SocketKind = socket.SOCK_STREAM) -> tuple[str, int]:
+    """A loopback address with a port that is free now, but is not reserved."""
+    with socket.socket(socket.AF_INET, socket_kind) as sock:
         sock.bind(("127.0.0.1", 0))
-        name: tuple[str, int] = sock.getsockname()
-        return name
+        address: tuple[str, int] = sock.getsockname()
+        return address
 
 
-def text(address: tuple[str, int]) -> str:
+def format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
 
 
-def settings(number: int, sidecars: int) -> dict[str, Any]:
-    terms = {"group": "zone", "agreed_time": 0.8, "hard_stop": LONGEST_DEADLINE, "window": 1.0}
+def build_settings(index: int, sidecar_count: int) -> dict[str, Any]:
+    """The deployment settings of the sidecar `index` in a group of `sidecar_count`."""
+    terms = {"group": "zone", "agreed_time": 0.8, "hard_stop": HARD_STOP_SECONDS, "window": 1.0}
     limits = {"most_dispatches": 3, "cancel": True, "retry_after": True, "max_retry_after": 1.0}
     rules = {"cold_from": 0.2, "ramp_time": 4.0, "fall_multiple": 3.0, "overload_for": 1.0}
     return {
-        "offerings": [{"name": name, "semantics": effect} | terms for name, effect in OFFERINGS.items()],
-        "limits": limits | {"connect_timeout": 0.25, "idle_close": 30.0, "may_tell": sidecars > 1},
-        "rules": rules | {"ask_within": ASK_WITHIN, "stop_sending_within": GRACE},
-        "discovery": "ask", "self_index": number, "group_size": sidecars, "zones": ["a"], "kinds": ["m"],
+        "offerings": [
+            {"name": name, "semantics": semantics} | terms for name, semantics in OFFERINGS.items()
+        ],
+        "limits": limits | {"connect_timeout": 0.25, "idle_close": 30.0, "may_tell": sidecar_count > 1},
+        "rules": rules | {"ask_within": ASK_WITHIN_SECONDS, "stop_sending_within": GRACE},
+        "discovery": "ask", "self_index": index, "group_size": sidecar_count, "zones": ["a"], "kinds": ["m"],
     }  # fmt: skip
 
 
 class SidecarProcess:
-    def __init__(self, folder: Path, number: int, sidecars: int, faults: str = "") -> None:
-        """`faults`: see `faulty.py`."""
-        self.name, self.faults = f"n{number}", faults
-        self.listen, self.peer_listen = free_address(), free_address(socket.SOCK_DGRAM)
-        self.file, self.wall = folder / f"{self.name}.json", folder / f"{self.name}.wall"
-        self.log = folder / f"{self.name}.log"
+    """A sidecar with its configuration, started and stopped as a process any number of times."""
+
+    def __init__(self, folder: Path, index: int, sidecar_count: int, faults: str = "") -> None:
+        """`faults` is `SEED:SHARE` of the failing system calls (see `faulty.py`), or empty for none.
+
+        Configuration, log and clock offset are written to `folder`.
+        """
+        self.name, self.faults = f"n{index}", faults
+        self.listen_address, self.peer_address = find_free_address(), find_free_address(socket.SOCK_DGRAM)
+        self.config_file, self.wall_clock_file = folder / f"{self.name}.json", folder / f"{self.name}.wall"
+        self.log_file = folder / f"{self.name}.log"
         self.configuration: dict[str, Any] = {
-            "name": self.name, "listen": text(self.listen), "seed": f"{number + 1:x}",
-            "settings": settings(number, sidecars), "limits": {"sockets": 512, "memory_mb": 192},
+            "name": self.name, "listen": format_address(self.listen_address), "seed": f"{index + 1:x}",
+            "settings": build_settings(index, sidecar_count), "limits": {"sockets": 512, "memory_mb": 192},
         }  # fmt: skip
         self.step_wall_clock(0)
-        self.starts = 0
+        self.start_count = 0
         self.process: subprocess.Popen[bytes] | None = None
-        self.crashes: list[int] = []
-        self.terminated_at: float | None = None  # by SIGTERM, in monotonic seconds
+        self.crash_exit_codes: list[int] = []  # of processes that `stop` found already ended
+        self.sigterm_sent_at: float | None = None  # monotonic seconds; None: not since the last start
 
-    def configure(self, **more: Any) -> None:
-        self.configuration |= more
-        self.file.write_text(json.dumps(self.configuration))
+    def configure(self, **changes: Any) -> None:
+        """Replaces keys of the configuration and writes its file."""
+        self.configuration |= changes
+        self.config_file.write_text(json.dumps(self.configuration))
 
     def step_wall_clock(self, seconds: float) -> None:
-        """The process reads a wall clock that is off by so much from now on."""
-        self.wall.write_text(str(seconds))
+        """Sets the offset of the wall clock that the process reads from now on; it outlives a restart."""
+        self.wall_clock_file.write_text(str(seconds))
 
     def start(self) -> None:
-        self.starts += 1
-        self.terminated_at = None
-        environment = os.environ | {WALL_VARIABLE: str(self.wall), "RELAY_CONFIG": str(self.file)}
+        self.start_count += 1
+        self.sigterm_sent_at = None
+        environment = os.environ | {
+            WALL_CLOCK_VARIABLE: str(self.wall_clock_file),
+            "RELAY_CONFIG": str(self.config_file),
+        }
         if self.faults:
-            environment[FAULTS_VARIABLE] = f"{self.starts}{self.faults}"
-        with self.log.open("ab") as log:
+            # The start count before the seed makes the faults of each start differ.
+            environment[FAULTS_VARIABLE] = f"{self.start_count}{self.faults}"
+        with self.log_file.open("ab") as log_stream:
             command = [sys.executable, "-m", "maddercart.rig.processes.faulty", "serve"]
-            self.process = subprocess.Popen(command, stderr=log, env=environment)
+            self.process = subprocess.Popen(command, stderr=log_stream, env=environment)
 
-    def wait_until_ready(self, within: float = 20.0) -> None:
-        """Raises `TimeoutError`."""
-        until = time.monotonic() + within
+    def wait_until_ready(self, timeout_seconds: float = 20.0) -> None:
+        """Polls the readiness path; raises `TimeoutError` if the sidecar is not ready in time."""
+        until = time.monotonic() + timeout_seconds
         while time.monotonic() < until:
             try:
-                with socket.create_connection(self.listen, timeout=1) as sock:
+                with socket.create_connection(self.listen_address, timeout=1) as sock:
                     sock.sendall(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                     if sock.recv(64).startswith(b"HTTP/1.1 200"):
                         return
             except OSError:
                 pass
             time.sleep(0.05)
-        raise TimeoutError(f"{self.name} is not ready")
+        raise TimeoutError(f"sidecar {self.name} did not become ready in time")
 
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
-    def send(self, number: signal.Signals) -> None:
-        if self.process is not None and self.running():
-            self.process.send_signal(number)
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        if self.process is not None and self.is_running():
+            self.process.send_signal(signal_number)
+
+    def stop(self, signal_number: signal.Signals, timeout_seconds: float = 5.0) -> int:
+        """Ends the process by the signal, or by SIGKILL after the timeout; returns its exit code.
 
-    def end(self, number: signal.Signals, within: float = 5.0) -> int:
-        """Ends it, by SIGKILL where it takes longer, and returns its exit code."""
+        A process that has ended by itself before counts as crashed.
+        """
         assert self.process is not None
         if (code := self.process.poll()) is not None:
-            self.crashes.append(code)
+            self.crash_exit_codes.append(code)
             return code
-        if number == signal.SIGTERM:
-            self.terminated_at = time.monotonic()
-        self.send(number)
+        if signal_number == signal.SIGTERM:
+            self.sigterm_sent_at = time.monotonic()
+        self.send_signal(signal_number)
         try:
-            return self.process.wait(within)
+            return self.process.wait(timeout_seconds)
         except subprocess.TimeoutExpired:
             self.process.kill()
             return self.process.wait()
--- a/maddercart/rig/processes/tier.py
+++ b/maddercart/rig/processes/tier.py
@@ -1,4 +1,4 @@
-"""A few sidecar processes with their upstreams, discovery services, datagrams and clients, on loopback."""
+"""A group of sidecar processes with its upstreams, discovery services, peer relay and clients on loopback."""
 
 import asyncio
 import time
@@ -6,43 +6,46 @@
 from random import Random
 from typing import Any
 
-from maddercart.rig.processes.clients import Asked, Client
-from maddercart.rig.processes.discovery import DiscoveryService, Registry
+from maddercart.rig.processes.clients import Client, ClientRequest
+from maddercart.rig.processes.discovery import FakeDiscoveryService, UpstreamRegistry
 from maddercart.rig.processes.peering import PeerRelay
-from maddercart.rig.processes.sidecar import SidecarProcess, text
-from maddercart.rig.processes.upstreams import Attempt, UpstreamStandIn
+from maddercart.rig.processes.sidecar import SidecarProcess, format_address
+from maddercart.rig.processes.upstreams import Attempt, FakeUpstream
 
 
 class Tier:
-    """Use as an asynchronous context: its processes are ended with it."""
+    """A sidecar group as an asynchronous context manager, which kills the processes at its end."""
 
     def __init__(
-        self, folder: Path, seed: int, sidecars: int = 3, upstreams: int = 6, faults: str = ""
+        self, folder: Path, seed: int, sidecar_count: int = 3, upstreams: int = 6, faults: str = ""
     ) -> None:
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         self.attempts: list[Attempt] = []
-        self.asked: list[Asked] = []
-        self.sidecars = [SidecarProcess(folder, n, sidecars, faults) for n in range(sidecars)]
+        self.asked: list[ClientRequest] = []
+        self.sidecars = [
+            SidecarProcess(folder, index, sidecar_count, faults) for index in range(sidecar_count)
+        ]
         self.upstreams = [
-            UpstreamStandIn(f"s-{n}", self.attempts, Random(seed + n)) for n in range(upstreams)
+            FakeUpstream(f"s-{index}", self.attempts, Random(seed + index)) for index in range(upstreams)
         ]
-        self.dials: dict[str, str] = {}
-        self.services: dict[str, DiscoveryService] = {}  # by sidecar: the one that it is configured with
-        self.former: dict[str, list[DiscoveryService]] = {}
+        self.dial_addresses: dict[str, str] = {}  # by upstream host
+        self.services: dict[str, FakeDiscoveryService] = {}  # by sidecar name: the configured one
+        self.former_services: dict[str, list[FakeDiscoveryService]] = {}  # by sidecar name
         self.clients: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> "Tier":
-        self.dials = {upstream.host: await upstream.start() for upstream in self.upstreams}
-        self.registry = Registry([self.line(upstream, "SERVING") for upstream in self.upstreams])
-        relay = PeerRelay([sidecar.peer_listen for sidecar in self.sidecars])
-        peers, everyone = await relay.start()
+        self.dial_addresses = {upstream.host: await upstream.start() for upstream in self.upstreams}
+        self.registry = UpstreamRegistry([self.entry(upstream, "SERVING") for upstream in self.upstreams])
+        relay = PeerRelay([sidecar.peer_address for sidecar in self.sidecars])
+        peer_addresses, group_address = await relay.start()
         for sidecar in self.sidecars:
-            service = self.services[sidecar.name] = DiscoveryService(self.registry)
-            self.former[sidecar.name] = []
+            service = self.services[sidecar.name] = FakeDiscoveryService(self.registry)
+            self.former_services[sidecar.name] = []
             sidecar.configure(
-                discovery=await service.start(), known=self.registry.whole(),
-                peer_listen=text(sidecar.peer_listen), peers=[text(peer) for peer in peers],
-                peers_all=text(everyone),
+                discovery=await service.start(), known=self.registry.snapshot(),
+                peer_listen=format_address(sidecar.peer_address),
+                peers=[format_address(address) for address in peer_addresses],
+                peers_all=format_address(group_address),
             )  # fmt: skip
         return self
 
@@ -50,44 +53,49 @@
         for client in self.clients:
             client.cancel()
         for sidecar in self.sidecars:
-            if sidecar.process is not None and sidecar.running():
+            if sidecar.process is not None and sidecar.is_running():
                 sidecar.process.kill()
                 sidecar.process.wait()
 
-    def line(self, upstream: UpstreamStandIn, health: str, born_ms: float = 0) -> dict[str, Any]:
-        return upstream.line(self.dials[upstream.host], health, born_ms)
+    def entry(self, upstream: FakeUpstream, health: str, born_ms: float = 0) -> dict[str, Any]:
+        """The discovery entry of an upstream that started at `born_ms` (Unix time in ms)."""
+        return upstream.entry(self.dial_addresses[upstream.host], health, born_ms)
 
-    def change(self, health: str, *upstreams: UpstreamStandIn) -> None:
-        self.registry.change(*(self.line(upstream, health) for upstream in upstreams))
+    def change(self, health: str, *upstreams: FakeUpstream) -> None:
+        """Publishes a new health (SERVING, DRAINING or DELETED) of the upstreams."""
+        self.registry.publish(*(self.entry(upstream, health) for upstream in upstreams))
 
     async def start(self) -> None:
-        """Starts all sidecars; returns once they are ready."""
+        """Starts all sidecars and waits until they are ready."""
         for sidecar in self.sidecars:
             sidecar.start()
-        await self.ready()
+        await self.wait_until_ready()
 
-    def step_clocks_at_random(self) -> None:
+    def set_random_clock_offsets(self) -> None:
         for sidecar in self.sidecars:
-            sidecar.step_wall_clock(self.chance.choice([0, 0, 5, -5, 3600, -3600]))
+            sidecar.step_wall_clock(self.rng.choice([0, 0, 5, -5, 3600, -3600]))
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         await asyncio.gather(*(asyncio.to_thread(sidecar.wait_until_ready) for sidecar in self.sidecars))
 
     def begin_clients(self, each: int, pause: float, span: float) -> None:
-        """So many at each sidecar, for a time; `pause`: the mean between two requests (all seconds)."""
+        """Starts `each` clients at each sidecar for `span` seconds.
+
+        `pause` is the mean time between two requests of a client, in seconds.
+        """
         until = time.monotonic() + span
         for sidecar in self.sidecars:
             for _ in range(each):
-                client = Client(sidecar, self.asked, Random(self.chance.getrandbits(32)))
+                client = Client(sidecar, self.asked, Random(self.rng.getrandbits(32)))
                 self.clients.append(asyncio.create_task(client.run(until, pause)))
 
     async def clients_done(self) -> None:
         await asyncio.gather(*self.clients)
 
-    async def move_discovery(self, sidecar: SidecarProcess) -> DiscoveryService:
-        """A new configuration names another service; the caller sends SIGHUP."""
-        service = DiscoveryService(self.registry)
-        self.former[sidecar.name].append(self.services[sidecar.name])
+    async def move_discovery(self, sidecar: SidecarProcess) -> FakeDiscoveryService:
+        """Configures the sidecar with a new discovery service, which it uses once the caller sends SIGHUP."""
+        service = FakeDiscoveryService(self.registry)
+        self.former_services[sidecar.name].append(self.services[sidecar.name])
         self.services[sidecar.name] = service
         sidecar.configure(discovery=await service.start())
         return service
--- a/maddercart/rig/processes/upstreams.py
+++ b/maddercart/rig/processes/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstream stand-ins that note when the first byte of each request came, and which requests ran."""
+"""Fake upstreams, which record when the first byte of each attempt arrived and whether it ran."""
 
 import asyncio
 import time
@@ -11,53 +11,60 @@
 
 @dataclass
 class Attempt:
-    """A request as it reached an upstream (monotonic seconds)."""
+    """A request as it reached an upstream."""
 
-    trace: str
+    trace_id: str
     host: str
-    sidecar: str  # the user agent by which the client named it
-    first_byte_at: float
-    expires_in: float  # seconds, as told to the upstream
-    ran: bool = False
+    sidecar: str  # its name, as the client wrote it into the header X-Sidecar
+    first_byte_at: float  # monotonic seconds
+    expires_in: float  # seconds, from the header X-Expires-In
+    ran: bool = False  # the request arrived completely
 
 
-class UpstreamStandIn:
-    def __init__(self, host: str, attempts: list[Attempt], chance: Random) -> None:
-        self.host, self.attempts, self.chance = host, attempts, chance
-        self.hangs = False
-        self.errors = 0.0  # share of the requests that end in a reset
+class FakeUpstream:
+    """An upstream that answers each request after 2 to 40 ms; `attempts` is shared by all upstreams."""
+
+    def __init__(self, host: str, attempts: list[Attempt], rng: Random) -> None:
+        self.host, self.attempts, self.rng = host, attempts, rng
+        self.hangs = False  # requests wait for `HANG_SECONDS` before their response
+        self.reset_share = 0.0  # share of the requests after which the connection is reset
 
     async def start(self) -> str:
-        """Listens, and returns the address."""
-        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        """Starts to listen and returns the address as `host:port`."""
+        self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", 0)
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
-    def line(self, dial: str, health: str, born_ms: float = 0) -> dict[str, object]:
-        line = {"host": self.host, "dial": dial, "site": "a", "class": "m", "block": 0, "health": health}
-        return line | {"share": 1.0, "born_ms": born_ms}
+    def entry(self, dial: str, health: str, born_ms: float = 0) -> dict[str, object]:
+        """The entry of this upstream in the discovery list; it started at `born_ms` (Unix time in ms)."""
+        entry = {"host": self.host, "dial": dial, "site": "a", "class": "m", "block": 0, "health": health}
+        return entry | {"share": 1.0, "born_ms": born_ms}
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            while first := await reader.read(1):
-                came_at = time.monotonic()
-                attempt = await self.receive(reader, first, came_at)
+            while first_byte := await reader.read(1):
+                first_byte_at = time.monotonic()
+                attempt = await self.read_request(reader, first_byte, first_byte_at)
                 attempt.ran = True
                 if self.hangs:
                     await asyncio.sleep(HANG_SECONDS)
-                if self.chance.random() < self.errors:
+                if self.rng.random() < self.reset_share:
                     writer.transport.abort()
                     return
-                await asyncio.sleep(self.chance.uniform(0.002, 0.04))
-                body = attempt.trace.encode()
+                await asyncio.sleep(self.rng.uniform(0.002, 0.04))
+                body = attempt.trace_id.encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         writer.close()
 
-    async def receive(self, reader: asyncio.StreamReader, first: bytes, came_at: float) -> Attempt:
-        head = (first + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-        pairs = [line.partition(": ") for line in head.split("\r\n")[1:]]
-        headers = {name.lower(): value for name, _, value in pairs}
+    async def read_request(
+        self, reader: asyncio.StreamReader, first_byte: bytes, first_byte_at: float
+    ) -> Attempt:
+        head = (first_byte + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
+        fields = [line.partition(": ") for line in head.split("\r\n")[1:]]
+        headers = {name.lower(): value for name, _, value in fields}
         expires_in = float(headers["x-expires-in"].removesuffix("u")) / 1e6
-        attempt = Attempt(headers["x-trace-id"], self.host, headers.get("x-sidecar", ""), came_at, expires_in)
+        attempt = Attempt(
+            headers["x-trace-id"], self.host, headers.get("x-sidecar", ""), first_byte_at, expires_in
+        )
         self.attempts.append(attempt)
         await reader.readexactly(int(headers.get("content-length", 0)))
         return attempt
