--- a/maddercart/lab/clients.py
+++ b/maddercart/lab/clients.py
@@ -1,124 +1,175 @@
-"""Clients: they want something, ask, wait, ask again as they are made, and at last have it or give it up."""
+"""Simulated clients: they send queries, retry after failures and give up when their patience ends.
+
+Times are whole nanoseconds of simulated time. A wish is what a client wants; each try at it is a query.
+"""
 
 from typing import TYPE_CHECKING
 
 from maddercart.interface import REDOABLE, SECOND
-from maddercart.lab.day import Day
+from maddercart.lab.day import Workload
 from maddercart.lab.scenario import Scenario
 from maddercart.lab.sidecars import Ask
-from maddercart.lab.streams import stream, uniforms
+from maddercart.lab.streams import random_stream, uniforms
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
     from maddercart.lab.world import World
 
-    Row = tuple[int, int, int, int, int, int, float]
+    Row = tuple[int, int, int, int, int, int, float]  # wish, arrival, sidecar, offering, tenant, work, luck
 
-BLOCK = 4096  # rows of the day that are turned into Python's numbers at once
+ROWS_PER_BLOCK = 4096  # rows of the workload converted to Python numbers at once
 
 
 class Clients:
-    """A retry goes to the same sidecar. What was aborted is asked again only where it is redoable: a client
-    that knows the rules repeats nothing else."""
-
-    def __init__(self, world: "World", scenario: Scenario, day: Day, seed: int) -> None:
-        self.world, self.engine, self.day, self.terms = world, world.engine, day, scenario.clients
-        self.patience = round(self.terms.patience * SECOND)
-        self.wait = round(self.terms.wait * SECOND)
-        self.spread = uniforms(stream(seed, "retries"))
-        self.deaf = stream(seed, "deaf").random(len(day)) < self.terms.deaf if self.terms.deaf else None
-        self.stops = [round(terms.stop * SECOND) for terms in scenario.offerings]
+    """Sends the queries of a workload and retries them as the scenario's `clients` settings say.
+
+    A retry goes to the same sidecar. An aborted query is retried only if its effect is redoable: any other
+    effect could take place twice.
+    """
+
+    def __init__(self, world: "World", scenario: Scenario, workload: Workload, seed: int) -> None:
+        self.world, self.engine, self.workload, self.settings = (
+            world,
+            world.engine,
+            workload,
+            scenario.clients,
+        )
+        self.patience_ns = round(self.settings.patience * SECOND)
+        self.retry_delay_ns = round(self.settings.wait * SECOND)
+        self.retry_jitter = uniforms(random_stream(seed, "retries"))
+        self.ignores_retry_after = (
+            random_stream(seed, "deaf").random(len(workload)) < self.settings.deaf
+            if self.settings.deaf
+            else None
+        )
+        self.hard_stops_ns = [round(terms.stop * SECOND) for terms in scenario.offerings]
         self.effects = [terms.effect for terms in world.offerings]
-        self.asked = 0  # queries, retries and all
-        self.rows = self.read()
-        self.put()
-
-    def read(self) -> "Iterator[Row]":
-        day = self.day
-        for start in range(0, len(day), BLOCK):
-            end = min(len(day), start + BLOCK)
-            columns = (day.at, day.sidecar, day.offering, day.tenant, day.work, day.luck)
-            yield from zip(range(start, end), *(one[start:end].tolist() for one in columns), strict=True)
-
-    def put(self) -> None:
-        """One arrival puts the next: a million at once on the clock's heap would slow all else down."""
+        self.query_count = 0  # including retries
+        self.rows = self.read_rows()
+        self.schedule_next_arrival()
+
+    def read_rows(self) -> "Iterator[Row]":
+        workload = self.workload
+        for start in range(0, len(workload), ROWS_PER_BLOCK):
+            end = min(len(workload), start + ROWS_PER_BLOCK)
+            columns = (
+                workload.arrival_ns,
+                workload.sidecar,
+                workload.offering,
+                workload.tenant,
+                workload.work_ns,
+                workload.luck,
+            )
+            yield from zip(
+                range(start, end), *(column[start:end].tolist() for column in columns), strict=True
+            )
+
+    def schedule_next_arrival(self) -> None:
+        """Schedules one arrival at a time: a million of them in the event queue would slow it down."""
         if (row := next(self.rows, None)) is not None:
             self.engine.at(row[1], self.arrive, row)
 
     def arrive(self, row: "Row") -> None:
-        wish, at, sidecar, offering, tenant, work, luck = row
-        self.put()
-        self.world.meter.wished(wish)
-        self.ask(wish, sidecar, offering, tenant, work, luck, at, 1)
+        wish, arrival, sidecar_number, offering, tenant, work, luck = row
+        self.schedule_next_arrival()
+        self.world.meter.wish_started(wish)
+        self.send_query(wish, sidecar_number, offering, tenant, work, luck, arrival, 1)
 
-    def ask(
+    def send_query(
         self,
         wish: int,
-        sidecar: int,
+        sidecar_number: int,
         offering: int,
         tenant: int,
         work: int,
         luck: float,
         first: int,
-        tries: int,
+        try_number: int,
     ) -> None:
-        now, host = self.engine.now, self.world.sidecars[sidecar]
-        self.asked += 1
-        stop = now + self.stops[offering]
-        ask = Ask(self.asked, wish, host, offering, tenant, work, luck, now, stop, first, tries)
-        self.world.meter.asked(now, host.zone, tries)
+        now, sidecar = self.engine.now, self.world.sidecars[sidecar_number]
+        self.query_count += 1
+        hard_stop_at = now + self.hard_stops_ns[offering]
+        query = Ask(
+            self.query_count,
+            wish,
+            sidecar,
+            offering,
+            tenant,
+            work,
+            luck,
+            now,
+            hard_stop_at,
+            first,
+            try_number,
+        )
+        self.world.meter.query_sent(now, sidecar.zone, try_number)
         if self.world.story is not None:
-            self.world.story.asked(now, ask)
-        if first + self.patience < stop:
-            self.engine.at(max(now, first + self.patience), self.leave, ask)
+            self.world.story.query_sent(now, query)
+        if first + self.patience_ns < hard_stop_at:
+            self.engine.at(max(now, first + self.patience_ns), self.give_up, query)
         else:
-            self.engine.at(stop + 1, self.unanswered, ask)
-        host.take(ask)
-
-    def leave(self, ask: Ask) -> None:
-        if not ask.over:
-            ask.over = True
-            self.world.meter.ended(ask, "left", self.engine.now)
-            ask.host.left(ask)
-
-    def unanswered(self, ask: Ask) -> None:  # its hard stop has passed, which only a standstill excuses
-        if not ask.over:
-            ask.over = True
-            self.world.meter.ended(ask, "unanswered", self.engine.now)
-
-    def cut_off(self, ask: Ask) -> None:  # its sidecar has restarted
-        if not ask.over:
-            ask.over = True
-            self.again(ask, "lost", 0)
-
-    def answered(self, ask: Ask, how: str, after: int) -> None:
-        if ask.over:
+            self.engine.at(hard_stop_at + 1, self.hard_stop_passed, query)
+        sidecar.receive_query(query)
+
+    def give_up(self, query: Ask) -> None:
+        if not query.finished:
+            query.finished = True
+            self.world.meter.wish_ended(query, "left", self.engine.now)
+            query.sidecar.client_left(query)
+
+    def hard_stop_passed(self, query: Ask) -> None:
+        """Ends a query without an answer by its hard stop, which only a pause of its sidecar excuses."""
+        if not query.finished:
+            query.finished = True
+            self.world.meter.wish_ended(query, "unanswered", self.engine.now)
+
+    def connection_lost(self, query: Ask) -> None:
+        """Handles the loss of a query by a restart of its sidecar."""
+        if not query.finished:
+            query.finished = True
+            self.retry_or_end(query, "lost", 0)
+
+    def receive_answer(self, query: Ask, outcome: str, retry_after: int) -> None:
+        """Handles the final answer: "done", "bounce" or "abort"; `retry_after` is 0 except for a bounce."""
+        if query.finished:
             return
-        ask.over = True
-        if how == "done":
-            self.world.meter.ended(ask, "done", self.engine.now)
+        query.finished = True
+        if outcome == "done":
+            self.world.meter.wish_ended(query, "done", self.engine.now)
         else:
-            self.again(ask, how, after)
+            self.retry_or_end(query, outcome, retry_after)
 
-    def again(self, ask: Ask, how: str, after: int) -> None:
-        now, mode = self.engine.now, self.terms.retry
+    def retry_or_end(self, query: Ask, outcome: str, retry_after: int) -> None:
+        """Schedules a retry if the client's settings and the query's effect allow one; else ends the wish."""
+        now, mode = self.engine.now, self.settings.retry
         if (
             mode == "none"
-            or ask.tries >= self.terms.tries
-            or (how != "bounce" and self.effects[ask.offering] != REDOABLE)
+            or query.try_number >= self.settings.tries
+            or (outcome != "bounce" and self.effects[query.offering] != REDOABLE)
         ):
-            return self.world.meter.ended(ask, how, now)
-        wait = int(self.wait * (0.5 + next(self.spread)))
+            return self.world.meter.wish_ended(query, outcome, now)
+        delay = int(self.retry_delay_ns * (0.5 + next(self.retry_jitter)))
         if mode == "at_once":
-            wait = 0
-        elif mode == "honour" and how == "bounce" and not (self.deaf is not None and self.deaf[ask.wish]):
-            wait = after
-        if now + wait >= ask.first + self.patience:
-            return self.world.meter.ended(ask, how, now)
-        self.engine.at(now + wait, self.retry, ask)
-
-    def retry(self, ask: Ask) -> None:
-        self.ask(
-            ask.wish, ask.host.number, ask.offering, ask.tenant, ask.work, ask.luck, ask.first, ask.tries + 1
+            delay = 0
+        elif (
+            mode == "honour"
+            and outcome == "bounce"
+            and not (self.ignores_retry_after is not None and self.ignores_retry_after[query.wish])
+        ):
+            delay = retry_after
+        if now + delay >= query.first + self.patience_ns:
+            return self.world.meter.wish_ended(query, outcome, now)
+        self.engine.at(now + delay, self.retry, query)
+
+    def retry(self, query: Ask) -> None:
+        self.send_query(
+            query.wish,
+            query.sidecar.number,
+            query.offering,
+            query.tenant,
+            query.work,
+            query.luck,
+            query.first,
+            query.try_number + 1,
         )
--- a/maddercart/lab/engine.py
+++ b/maddercart/lab/engine.py
@@ -1,33 +1,33 @@
-"""The clock of the model: what is due, by time and then by the order in which it was asked for."""
+"""A discrete-event scheduler. Times are whole nanoseconds of simulated time."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 from typing import Any
 
-Due = tuple[int, int, Callable[[Any], None], Any]
+Event = tuple[int, int, Callable[[Any], None], Any]  # time, sequence number, callback, argument
 
 
 class Engine:
-    """Times are whole nanoseconds. Two events of one instant come in the order in which they were put."""
+    """Runs events in order of time, and those of the same instant in the order of their scheduling."""
 
     def __init__(self) -> None:
         self.now = 0
-        self.put = 0
-        self.heap: list[Due] = []
+        self.last_sequence = 0
+        self.heap: list[Event] = []
 
-    def at(self, when: int, do: Callable[[Any], None], what: Any = None) -> None:
-        """Raises ValueError for a time that has gone: it would make the past another one."""
-        if when < self.now:
-            raise ValueError(f"{when} is before {self.now}")
-        self.put += 1
-        heappush(self.heap, (when, self.put, do, what))
+    def at(self, time: int, callback: Callable[[Any], None], argument: Any = None) -> None:
+        """Schedules `callback(argument)`. Raises ValueError for a time in the past."""
+        if time < self.now:
+            raise ValueError(f"event time {time} ns is before the current time {self.now} ns")
+        self.last_sequence += 1
+        heappush(self.heap, (time, self.last_sequence, callback, argument))
 
     def run(self, until: int) -> int:
-        """All that is due by then, and what that puts; answers the number of events."""
+        """Runs all events due up to and including `until`; returns how many it ran."""
         heap, count = self.heap, 0
         while heap and heap[0][0] <= until:
-            self.now, _, do, what = heappop(heap)
-            do(what)
+            self.now, _, callback, argument = heappop(heap)
+            callback(argument)
             count += 1
         self.now = until
         return count
--- a/maddercart/lab/meter.py
+++ b/maddercart/lab/meter.py
@@ -1,4 +1,7 @@
-"""What came of a day: one row for each wish, and counts for each step of the time line."""
+"""Measurements of a run: the outcome of each wish, and counts for each step of the time line.
+
+Times are whole nanoseconds of simulated time unless stated otherwise.
+"""
 
 from array import array
 from dataclasses import dataclass, field
@@ -7,121 +10,135 @@
 from numpy.typing import NDArray
 
 from maddercart.interface import SECOND
-from maddercart.lab.day import Day
+from maddercart.lab.day import Workload
 from maddercart.lab.scenario import Scenario
 from maddercart.lab.sidecars import Ask
 
-ENDS = ("open", "done", "late", "bounce", "abort", "left", "unanswered", "lost")
-HOME = "PRIMARY"  # the state of a sidecar whose traffic is at home
-STEP = 0.5  # seconds, of the time line
+OUTCOMES = ("open", "done", "late", "bounce", "abort", "left", "unanswered", "lost")
+HOME_STATE = "PRIMARY"  # the failover state in which a sidecar sends its traffic to its home group
+STEP = 0.5  # length in seconds of a step of the time line
+# "first": first tries; "gone": left, unanswered or lost; "crossed": dispatches to another zone;
+# "away": sidecars that are not in the home state.
 COLUMNS = ("asked", "first", "done", "late", "bounce", "abort", "gone", "sent", "crossed", "away")
 
 
 class Meter:
-    """Answers' times count from a client's first try. A wish that came in the warm-up is not counted."""
+    """Records the outcome, latency and tries of each wish, and counts by zone and step of the time line.
+
+    Latencies count from the client's first try. Wishes that arrive during the warm-up are left out of the
+    summary.
+    """
 
-    def __init__(self, scenario: Scenario, day: Day) -> None:
-        self.scenario, self.day = scenario, day
-        count = len(day)
+    def __init__(self, scenario: Scenario, workload: Workload) -> None:
+        self.scenario, self.workload = scenario, workload
+        count = len(workload)
+        # By wish: index into the outcomes, latency in ns, number of tries (at most 127).
         self.how = array("b", bytes(count))
         self.took = array("q", bytes(8 * count))
-        self.tries = array("b", bytes(count))
-        self.agreed = [round(terms.agreed * SECOND) for terms in scenario.offerings]
-        self.steps = int(scenario.seconds / STEP) + 1
-        self.lines = [[[0] * self.steps for _ in COLUMNS] for _ in scenario.zones]
-        self.step = int(STEP * SECOND)
-        self.zones = [n for n, zone in enumerate(scenario.zones) for _ in range(zone.sidecars)]
-        self.sent_total = self.crossed = self.probes = self.wishes = 0
-        self.notes: list[tuple[float, int, str]] = []
-
-    def count(self, now: int, zone: int, column: int, by: int = 1) -> None:
-        self.lines[zone][column][min(now // self.step, self.steps - 1)] += by
-
-    def wished(self, wish: int) -> None:
-        self.wishes += 1
-
-    def asked(self, now: int, zone: int, tries: int) -> None:
-        self.count(now, zone, 0)
-        if tries == 1:
-            self.count(now, zone, 1)
-
-    def sent(self, now: int, zone: int, crosses: bool) -> None:
-        self.sent_total += 1
-        self.crossed += crosses
-        self.count(now, zone, 7)
-        if crosses:
-            self.count(now, zone, 8)
-
-    def ended(self, ask: Ask, how: str, now: int) -> None:
-        took = now - ask.first
-        if how == "done" and took > self.agreed[ask.offering]:
-            how = "late"
-        self.how[ask.wish], self.took[ask.wish] = ENDS.index(how), took
-        self.tries[ask.wish] = min(ask.tries, 127)
-        self.count(now, ask.host.zone, 2 + min(ENDS.index(how) - 1, 4))
-
-    def noted(self, now: int, sidecar: int, text: str) -> None:
-        """What a policy tells whoever is on call; "X to Y" is a change of its group's state."""
+        self.try_counts = array("b", bytes(count))
+        self.agreed_times_ns = [round(terms.agreed * SECOND) for terms in scenario.offerings]
+        self.step_count = int(scenario.seconds / STEP) + 1
+        # Counts by zone, column and step.
+        self.timelines = [[[0] * self.step_count for _ in COLUMNS] for _ in scenario.zones]
+        self.step_ns = int(STEP * SECOND)
+        self.sidecar_zones = [n for n, zone in enumerate(scenario.zones) for _ in range(zone.sidecars)]
+        self.dispatch_count = self.cross_zone_count = self.probe_count = self.wish_count = 0
+        self.notes: list[tuple[float, int, str]] = []  # seconds, sidecar, text
+
+    def add(self, now: int, zone: int, column: int, amount: int = 1) -> None:
+        self.timelines[zone][column][min(now // self.step_ns, self.step_count - 1)] += amount
+
+    def wish_started(self, wish: int) -> None:
+        self.wish_count += 1
+
+    def query_sent(self, now: int, zone: int, try_number: int) -> None:
+        self.add(now, zone, 0)
+        if try_number == 1:
+            self.add(now, zone, 1)
+
+    def dispatch_sent(self, now: int, zone: int, cross_zone: bool) -> None:
+        self.dispatch_count += 1
+        self.cross_zone_count += cross_zone
+        self.add(now, zone, 7)
+        if cross_zone:
+            self.add(now, zone, 8)
+
+    def wish_ended(self, query: Ask, outcome: str, now: int) -> None:
+        latency = now - query.first
+        if outcome == "done" and latency > self.agreed_times_ns[query.offering]:
+            outcome = "late"
+        self.how[query.wish], self.took[query.wish] = OUTCOMES.index(outcome), latency
+        self.try_counts[query.wish] = min(query.try_number, 127)
+        self.add(now, query.sidecar.zone, 2 + min(OUTCOMES.index(outcome) - 1, 4))
+
+    def policy_note(self, now: int, sidecar: int, text: str) -> None:
+        """Records a policy's note to operators; "X to Y" is a change of its failover state."""
         self.notes.append((now / SECOND, sidecar, text))
-        before, to, after = [*text.split(), "", "", ""][:3]
-        if to == "to" and (before == HOME) != (after == HOME):
-            change, zone = (1 if before == HOME else -1), self.zones[sidecar]
-            column = self.lines[zone][COLUMNS.index("away")]
-            for step in range(min(now // self.step, self.steps - 1), self.steps):
+        before, separator, after = [*text.split(), "", "", ""][:3]
+        if separator == "to" and (before == HOME_STATE) != (after == HOME_STATE):
+            change, zone = (1 if before == HOME_STATE else -1), self.sidecar_zones[sidecar]
+            column = self.timelines[zone][COLUMNS.index("away")]
+            for step in range(min(now // self.step_ns, self.step_count - 1), self.step_count):
                 column[step] += change
 
-    def worth(self) -> NDArray[np.float64]:
-        """What each wish earns when it is answered in time: less beyond its tenant's quota."""
-        table = np.array([terms.earnings for terms in self.scenario.offerings])
-        worth = table[self.day.offering]
-        for n, tenant in enumerate(self.scenario.tenants):
+    def wish_earnings(self) -> NDArray[np.float64]:
+        """The earnings of each wish if it is answered in time; less for wishes beyond the tenant's quota."""
+        by_offering = np.array([terms.earnings for terms in self.scenario.offerings])
+        earnings = by_offering[self.workload.offering]
+        for index, tenant in enumerate(self.scenario.tenants):
             if not tenant.quota:
                 continue
-            rows = np.flatnonzero(self.day.tenant == n)
-            left, last = tenant.quota, 0.0  # a second's worth is saved up
-            for row, at in zip(rows.tolist(), (self.day.at[rows] / SECOND).tolist(), strict=True):
-                left, last = min(tenant.quota, left + tenant.quota * (at - last)), at
-                if left >= 1:
-                    left -= 1
+            rows = np.flatnonzero(self.workload.tenant == index)
+            tokens, last = tenant.quota, 0.0  # token bucket that holds one second of the quota
+            for row, arrival in zip(
+                rows.tolist(), (self.workload.arrival_ns[rows] / SECOND).tolist(), strict=True
+            ):
+                tokens, last = min(tenant.quota, tokens + tenant.quota * (arrival - last)), arrival
+                if tokens >= 1:
+                    tokens -= 1
                 else:
-                    worth[row] *= tenant.beyond
-        return worth
+                    earnings[row] *= tenant.beyond
+        return earnings
 
 
 @dataclass(frozen=True)
 class Result:
-    """Of one run; shares are of the earnings asked for after the warm-up, times seconds."""
+    """The results of one run. The figure `share` is relative to the earnings asked for after the warm-up."""
 
     figures: dict[str, float | int | str]
-    took: NDArray[np.int64] = field(repr=False)  # of the wishes that were done, nanoseconds
+    took: NDArray[np.int64] = field(repr=False)  # ns, of the wishes that were done
     lines: list[list[list[int]]] = field(repr=False)  # by zone, by column, by step
-    notes: list[tuple[float, int, str]] = field(repr=False)
-    cold: dict[int, list[tuple[float, float]]] = field(repr=False)  # by cold server: when, part of its limit
+    notes: list[tuple[float, int, str]] = field(repr=False)  # seconds, sidecar, text
+    # By cold server: samples of (seconds, fraction of its load limit).
+    cold: dict[int, list[tuple[float, float]]] = field(repr=False)
     breaches: list[str] = field(repr=False)
 
 
-def summary(meter: Meter) -> tuple[dict[str, float | int], NDArray[np.int64]]:
-    scenario, day = meter.scenario, meter.day
-    counted = day.at >= scenario.warmup * SECOND
-    how, took = np.frombuffer(meter.how, dtype=np.int8), np.frombuffer(meter.took, dtype=np.int64)
-    worth = meter.worth()
-    late = np.array([terms.late_earnings for terms in scenario.offerings])[day.offering]
-    full = np.array([terms.earnings for terms in scenario.offerings])[day.offering]
-    late = late * worth / np.where(full > 0, full, 1)
-    asked = float(worth[counted].sum())
-    earned = float(worth[counted & (how == 1)].sum() + late[counted & (how == 2)].sum())
-    crossing = scenario.sidecars.crossing * meter.crossed
+def summarize(meter: Meter) -> tuple[dict[str, float | int], NDArray[np.int64]]:
+    """Returns the figures of a run and the latencies (ns) of the wishes that were done, warm-up left out."""
+    scenario, workload = meter.scenario, meter.workload
+    counted = workload.arrival_ns >= scenario.warmup * SECOND
+    outcomes, latencies = np.frombuffer(meter.how, dtype=np.int8), np.frombuffer(meter.took, dtype=np.int64)
+    earnings = meter.wish_earnings()
+    late_earnings = np.array([terms.late_earnings for terms in scenario.offerings])[workload.offering]
+    full_earnings = np.array([terms.earnings for terms in scenario.offerings])[workload.offering]
+    late_earnings = late_earnings * earnings / np.where(full_earnings > 0, full_earnings, 1)
+    earnings_asked = float(earnings[counted].sum())
+    earnings_achieved = float(
+        earnings[counted & (outcomes == 1)].sum() + late_earnings[counted & (outcomes == 2)].sum()
+    )
+    crossing_cost = scenario.sidecars.crossing * meter.cross_zone_count
     figures: dict[str, float | int] = {
         "wishes": int(counted.sum()),
-        "share": (earned - crossing) / asked if asked else 0.0,
-        "sent": meter.sent_total,
-        "crossed": meter.crossed / max(1, meter.sent_total),
-        "dispatches": meter.sent_total / max(1, len(day)),
-        "probes": meter.probes,
+        "share": (earnings_achieved - crossing_cost) / earnings_asked if earnings_asked else 0.0,
+        "sent": meter.dispatch_count,
+        "crossed": meter.cross_zone_count / max(1, meter.dispatch_count),
+        "dispatches": meter.dispatch_count / max(1, len(workload)),
+        "probes": meter.probe_count,
     }
-    for n, name in enumerate(ENDS):
-        figures[name] = int((counted & (how == n)).sum()) / max(1, int(counted.sum()))
-    done = took[counted & ((how == 1) | (how == 2))]
-    for name, part in (("p50", 0.5), ("p95", 0.95), ("p99", 0.99), ("p999", 0.999)):
-        figures[name] = float(np.quantile(done, part)) / SECOND if len(done) else 0.0
+    for index, name in enumerate(OUTCOMES):
+        figures[name] = int((counted & (outcomes == index)).sum()) / max(1, int(counted.sum()))
+    done = latencies[counted & ((outcomes == 1) | (outcomes == 2))]
+    for name, quantile in (("p50", 0.5), ("p95", 0.95), ("p99", 0.99), ("p999", 0.999)):
+        figures[name] = float(np.quantile(done, quantile)) / SECOND if len(done) else 0.0
     return figures, done
--- a/maddercart/lab/network.py
+++ b/maddercart/lab/network.py
@@ -1,39 +1,52 @@
-"""How long messages are under way between zones."""
+"""Simulated message delays within and between zones."""
 
 from maddercart.interface import MILLISECOND
 from maddercart.lab.scenario import Scenario
-from maddercart.lab.streams import factors, stream, uniforms
+from maddercart.lab.streams import lognormal_factors, random_stream, uniforms
 
 
 class Network:
-    """Delays in nanoseconds. A lost message is sent again, so it comes late; what is cut off never comes."""
+    """Draws message delays in nanoseconds.
+
+    A lost message is retransmitted, so it arrives late. Messages to and from a partitioned zone are not
+    handled here: its servers drop them.
+    """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        terms, names = scenario.network, [zone.name for zone in scenario.zones]
-        self.loss, self.resend = terms.loss, int(terms.resend_ms * MILLISECOND)
-        given = terms.delays_ms | {"-".join(reversed(k.split("-"))): v for k, v in terms.delays_ms.items()}
-        self.mean = [
+        settings, names = scenario.network, [zone.name for zone in scenario.zones]
+        self.loss_probability, self.retransmit_timeout_ns = (
+            settings.loss,
+            int(settings.resend_ms * MILLISECOND),
+        )
+        configured = settings.delays_ms | {
+            "-".join(reversed(pair.split("-"))): milliseconds
+            for pair, milliseconds in settings.delays_ms.items()
+        }
+        self.mean_ms = [
             [
-                terms.within_ms if one == two else given.get(f"{one}-{two}", terms.between_ms)
-                for two in names
+                settings.within_ms
+                if source == destination
+                else configured.get(f"{source}-{destination}", settings.between_ms)
+                for destination in names
             ]
-            for one in names
+            for source in names
         ]  # fmt: skip
-        self.base = [[delay * MILLISECOND for delay in row] for row in self.mean]
-        self.jitter = factors(stream(seed, "network"), terms.jitter)
-        self.lost = uniforms(stream(seed, "loss"))
+        self.base = [[delay_ms * MILLISECOND for delay_ms in row] for row in self.mean_ms]
+        self.jitter_factors = lognormal_factors(random_stream(seed, "network"), settings.jitter)
+        self.loss_draws = uniforms(random_stream(seed, "loss"))
 
-    def slow(self, factor: float, zones: list[int]) -> None:
-        """All that goes into or out of these zones takes `factor` times as long from now on."""
-        for one, row in enumerate(self.mean):
-            for two, delay in enumerate(row):
-                touched = one in zones or two in zones
-                self.base[one][two] = delay * MILLISECOND * (factor if touched else 1.0)
+    def scale_delays(self, factor: float, zones: list[int]) -> None:
+        """Sets the delays of messages into or out of these zones to `factor` times the configured ones."""
+        for source, row in enumerate(self.mean_ms):
+            for destination, delay_ms in enumerate(row):
+                affected = source in zones or destination in zones
+                self.base[source][destination] = delay_ms * MILLISECOND * (factor if affected else 1.0)
 
-    def delay(self, one: int, two: int) -> int:
-        took = int(self.base[one][two] * next(self.jitter))
-        if self.loss:
-            again = self.resend
-            while next(self.lost) < self.loss and again < 64 * self.resend:
-                took, again = took + again, 2 * again
-        return took
+    def delay(self, source: int, destination: int) -> int:
+        """Draws the delay of one message between two zones, retransmissions included."""
+        total = int(self.base[source][destination] * next(self.jitter_factors))
+        if self.loss_probability:
+            timeout = self.retransmit_timeout_ns
+            while next(self.loss_draws) < self.loss_probability and timeout < 64 * self.retransmit_timeout_ns:
+                total, timeout = total + timeout, 2 * timeout
+        return total
--- a/maddercart/lab/servers.py
+++ b/maddercart/lab/servers.py
@@ -1,4 +1,7 @@
-"""A server of the model: cores, a waiting room, a cold start, connections, reports, remembered marks."""
+"""A simulated server: cores, a bounded queue, cold start, connections and load reports.
+
+Times are whole nanoseconds of simulated time.
+"""
 
 from collections import deque
 from typing import TYPE_CHECKING, Any
@@ -10,14 +13,17 @@
     from maddercart.lab.sidecars import Dispatch
     from maddercart.lab.world import World
 
-GOLDEN = 0.6180339887498949  # spreads one number drawn for a query over its dispatches
+# Fractional part of the golden ratio: spreads the one draw of a query evenly over its dispatches.
+GOLDEN = 0.6180339887498949
 
 
 class Server:
-    """Works first come, first served, on `cores` queries at once. What it is at any time is the truth;
-    policies see it only by answers, reports and the list."""
+    """Runs up to `cores` queries at once, first come, first served, and queues up to `room` more.
+
+    Its attributes are the true state; policies learn of it only from answers, reports and the server list.
+    """
 
-    def __init__(self, world: "World", number: int, zone: int, cell: int, kind: int, terms: Kind) -> None:
+    def __init__(self, world: "World", number: int, zone: int, cell: int, kind: int, machine: Kind) -> None:
         scenario: Scenario = world.scenario
         self.world, self.engine, self.number, self.zone, self.cell, self.kind = (
             world,
@@ -27,70 +33,93 @@
             cell,
             kind,
         )
-        self.cores, self.room, self.speed, self.size = terms.cores, terms.room, terms.speed, terms.size
-        self.cold, self.terms = scenario.cold, scenario.servers
-        self.ramp = round(self.cold.ramp * SECOND)
-        self.refusal = round(self.terms.refusal_ms * MILLISECOND)
-        self.condition = READY  # as the list will tell it
-        self.launched = -(1 << 60)  # long ago
-        self.life = 0  # a process after another
-        self.up, self.silent, self.cut = True, False, False  # process; answers nothing; its zone is cut off
-        self.slow, self.failing = 1.0, 0.0
-        self.crowd_from, self.crowd_cost = self.terms.crowd_from, self.terms.crowd_cost
+        self.cores, self.room, self.speed, self.size = (
+            machine.cores,
+            machine.room,
+            machine.speed,
+            machine.size,
+        )
+        self.cold_settings, self.settings = scenario.cold, scenario.servers
+        self.ramp = round(self.cold_settings.ramp * SECOND)
+        self.refusal_ns = round(self.settings.refusal_ms * MILLISECOND)
+        self.condition = READY  # as published in the server list
+        self.launched = -(1 << 60)  # when it started cold; this value: fully warm
+        self.incarnation = 0  # counts the restarts of its process
+        # Whether the process runs; whether it answers nothing; whether its zone is partitioned.
+        self.up, self.silent, self.partitioned = True, False, False
+        # Factor on the time that work takes; share of the queries that fail.
+        self.slowdown, self.failing = 1.0, 0.0
+        self.crowd_from, self.crowd_cost = self.settings.crowd_from, self.settings.crowd_cost
         self.queue: deque[Dispatch] = deque()
         self.running: dict[Dispatch, None] = {}
         self.connections = 0
-        self.age = round(self.terms.report_age * SECOND)
-        self.report_at, self.report_made = -(1 << 60), Report(0.0, 0.0, -1, -1.0)
-        # For Little's law: the area under what it holds, and the times that what it held stayed.
-        self.area, self.changed, self.stays, self.came, self.waits, self.began = 0, 0, 0, 0, 0, 0
-        self.coming, self.backlog = 0, 0  # dispatches under way to it or held, and their work: for the bound
-
-    # -- what it can do
-
-    def warmth(self, now: int) -> float:
-        """Its part of a warm one's capacity."""
+        self.report_max_age_ns = round(self.settings.report_age * SECOND)
+        self.report_made_at, self.last_report = -(1 << 60), Report(0.0, 0.0, -1, -1.0)
+        # For the check of Little's law: the time integral of the number of queries held, when that number
+        # last changed, and the total time that departed queries spent here. Then statistics of the queue.
+        (
+            self.occupancy_integral_ns,
+            self.occupancy_changed_at,
+            self.total_sojourn_ns,
+            self.admitted_count,
+            self.total_wait_ns,
+            self.started_count,
+        ) = 0, 0, 0, 0, 0, 0
+        # Dispatches in flight to it or held, and their work in ns: read by the "bound" policy.
+        self.coming, self.backlog = 0, 0
+
+    # -- capacity and state
+
+    def warm_fraction(self, now: int) -> float:
+        """Its capacity as a fraction of that of a warm server."""
         age = now - self.launched
         if age >= self.ramp:
             return 1.0
-        return self.cold.start + (1 - self.cold.start) * max(0, age) / self.ramp
+        return self.cold_settings.start + (1 - self.cold_settings.start) * max(0, age) / self.ramp
 
     def rate(self, now: int) -> float:
-        """Work a nanosecond on one core, but for crowding."""
-        lost = min(0.9, self.connections * self.terms.connection_cost / self.cores)
-        return self.speed * self.warmth(now) * (1 - lost) / self.slow
+        """Work done per nanosecond on one core, without the effect of crowding."""
+        connection_share = min(0.9, self.connections * self.settings.connection_cost / self.cores)
+        return self.speed * self.warm_fraction(now) * (1 - connection_share) / self.slowdown
 
-    def held(self) -> int:
+    def held_count(self) -> int:
         return len(self.queue) + len(self.running)
 
     def reachable(self) -> bool:
-        return self.up and not self.silent and not self.cut
+        return self.up and not self.silent and not self.partitioned
 
-    def note(self) -> None:  # before what it holds changes
+    def update_occupancy(self) -> None:
+        """Updates the time integral of the number of queries held; called before that number changes."""
         now = self.engine.now
-        self.area += (now - self.changed) * (len(self.queue) + len(self.running))
-        self.changed = now
+        self.occupancy_integral_ns += (now - self.occupancy_changed_at) * (
+            len(self.queue) + len(self.running)
+        )
+        self.occupancy_changed_at = now
 
-    # -- what happens to it
+    # -- events
 
-    def arrive(self, dispatch: "Dispatch") -> None:
+    def receive(self, dispatch: "Dispatch") -> None:
         now, world = self.engine.now, self.world
-        if self.cut or self.silent:
-            return  # nothing comes back
-        if not self.up or dispatch.life != self.life:
+        if self.partitioned or self.silent:
+            return  # no reply ever arrives
+        if not self.up or dispatch.server_incarnation != self.incarnation:
             return self.reply(dispatch, RESET)
         if now - self.launched < self.ramp:
-            can = world.can(self, now)
-            world.referee.came_cold(now, self.number, dispatch.ask.work, can, dispatch.ask.number)
-        if self.failing and (dispatch.ask.luck + dispatch.shot * GOLDEN) % 1 < self.failing:
-            if (dispatch.ask.luck * 7919) % 1 < 0.5:  # half of what fails has run all the same
-                world.run(self, dispatch)
-            return self.engine.at(now + self.refusal, self.fail, (dispatch, ERROR, self.life))
+            capacity = world.cold_capacity(self, now)
+            world.referee.came_cold(now, self.number, dispatch.query.work, capacity, dispatch.query.number)
+        if self.failing and (dispatch.query.luck + dispatch.shot * GOLDEN) % 1 < self.failing:
+            if (dispatch.query.luck * 7919) % 1 < 0.5:  # half of the failing queries run before they fail
+                world.begin_execution(self, dispatch)
+            return self.engine.at(
+                now + self.refusal_ns, self.send_failure, (dispatch, ERROR, self.incarnation)
+            )
         if len(self.running) >= self.cores and len(self.queue) >= self.room:
-            return self.engine.at(now + self.refusal, self.fail, (dispatch, FULL, self.life))
-        self.note()
-        self.came += 1
-        dispatch.arrived = now
+            return self.engine.at(
+                now + self.refusal_ns, self.send_failure, (dispatch, FULL, self.incarnation)
+            )
+        self.update_occupancy()
+        self.admitted_count += 1
+        dispatch.arrived_at = now
         if len(self.running) < self.cores:
             self.start(dispatch)
         else:
@@ -99,72 +128,83 @@
     def start(self, dispatch: "Dispatch") -> None:
         now = self.engine.now
         self.running[dispatch] = None
-        self.began += 1
-        self.waits += now - dispatch.arrived
-        work = dispatch.ask.work if self.world.run(self, dispatch) else MILLISECOND  # a repeat: looked up
-        crowd = 1 + self.crowd_cost * max(0.0, self.held() / self.cores - self.crowd_from)
-        took = int(work * crowd / self.rate(now))
-        self.engine.at(now + took, self.finish, (dispatch, self.life))
-
-    def finish(self, what: tuple["Dispatch", int]) -> None:
-        dispatch, life = what
-        if life != self.life:
-            return  # the process has died meanwhile
-        self.leave(dispatch)
+        self.started_count += 1
+        self.total_wait_ns += now - dispatch.arrived_at
+        # A dropped repeat costs only the lookup of its key.
+        work = dispatch.query.work if self.world.begin_execution(self, dispatch) else MILLISECOND
+        crowding = 1 + self.crowd_cost * max(0.0, self.held_count() / self.cores - self.crowd_from)
+        duration = int(work * crowding / self.rate(now))
+        self.engine.at(now + duration, self.finish, (dispatch, self.incarnation))
+
+    def finish(self, arguments: tuple["Dispatch", int]) -> None:
+        dispatch, incarnation = arguments
+        if incarnation != self.incarnation:
+            return  # the process ended in the meantime
+        self.remove_running(dispatch)
         if not self.silent:
             self.reply(dispatch, DONE)
 
-    def fail(self, what: tuple["Dispatch", int, int]) -> None:
-        dispatch, how, life = what
-        self.reply(dispatch, how if life == self.life else RESET)
+    def send_failure(self, arguments: tuple["Dispatch", int, int]) -> None:
+        dispatch, outcome, incarnation = arguments
+        self.reply(dispatch, outcome if incarnation == self.incarnation else RESET)
 
     def cancel(self, dispatch: "Dispatch") -> None:
-        """The connection was closed; what runs goes on to its end, what waits does not begin."""
-        if dispatch.arrived and dispatch in self.queue and not self.cut:
-            self.note()
-            self.stays += self.engine.now - dispatch.arrived
+        """Handles a closed connection: a running query runs to its end, a queued one is removed."""
+        if dispatch.arrived_at and dispatch in self.queue and not self.partitioned:
+            self.update_occupancy()
+            self.total_sojourn_ns += self.engine.now - dispatch.arrived_at
             self.queue.remove(dispatch)
 
-    def leave(self, dispatch: "Dispatch") -> None:
-        self.note()
-        self.stays += self.engine.now - dispatch.arrived
+    def remove_running(self, dispatch: "Dispatch") -> None:
+        self.update_occupancy()
+        self.total_sojourn_ns += self.engine.now - dispatch.arrived_at
         del self.running[dispatch]
         if self.queue:
             self.start(self.queue.popleft())
 
-    def reply(self, dispatch: "Dispatch", how: int) -> None:
-        if self.cut:
+    def reply(self, dispatch: "Dispatch", outcome: int) -> None:
+        if self.partitioned:
             return
-        dispatch.report = self.report() if self.terms.reports and how in (DONE, ERROR, FULL) else None
-        dispatch.how = how
-        host = dispatch.host
-        self.engine.at(self.engine.now + self.world.network.delay(self.zone, host.zone), host.heard, dispatch)
+        dispatch.report = (
+            self.current_report() if self.settings.reports and outcome in (DONE, ERROR, FULL) else None
+        )
+        dispatch.outcome = outcome
+        sidecar = dispatch.sidecar
+        self.engine.at(
+            self.engine.now + self.world.network.delay(self.zone, sidecar.zone),
+            sidecar.receive_reply,
+            dispatch,
+        )
 
-    def report(self) -> Report:
+    def current_report(self) -> Report:
+        """The last load report, made anew if it is older than the maximum age."""
         now = self.engine.now
-        if now - self.report_at >= self.age:
-            noise = next(self.world.noise)
-            self.report_at = now
-            self.report_made = Report(self.held() * noise, len(self.queue) * noise, -1, -1.0)
-        return self.report_made
-
-    def die(self) -> None:
-        """The process ends: whoever waits gets a reset, unless the machine is cut off."""
-        self.note()
-        ended: list[Any] = [*self.running, *self.queue]
-        self.stays += sum(self.engine.now - dispatch.arrived for dispatch in ended)
+        if now - self.report_made_at >= self.report_max_age_ns:
+            noise_factor = next(self.world.report_noise)
+            self.report_made_at = now
+            self.last_report = Report(
+                self.held_count() * noise_factor, len(self.queue) * noise_factor, -1, -1.0
+            )
+        return self.last_report
+
+    def crash(self) -> None:
+        """Ends the process: each query held gets a connection reset, unless the zone is partitioned."""
+        self.update_occupancy()
+        interrupted: list[Any] = [*self.running, *self.queue]
+        self.total_sojourn_ns += sum(self.engine.now - dispatch.arrived_at for dispatch in interrupted)
         self.running.clear()
         self.queue.clear()
-        self.up, self.life, self.connections = False, self.life + 1, 0
-        for dispatch in ended:
+        self.up, self.incarnation, self.connections = False, self.incarnation + 1, 0
+        for dispatch in interrupted:
             self.reply(dispatch, RESET)
 
     def boot(self, cold: bool) -> None:
+        """Starts a process, cold or fully warm."""
         self.up, self.condition = True, READY
         self.launched = self.engine.now if cold else -(1 << 60)
-        self.report_at = -(1 << 60)
+        self.report_made_at = -(1 << 60)
 
-    def gone(self) -> None:
+    def shut_down(self) -> None:
         if self.up:
-            self.die()
+            self.crash()
         self.condition = GONE
--- a/maddercart/lab/sidecars.py
+++ b/maddercart/lab/sidecars.py
@@ -1,4 +1,7 @@
-"""Carries one policy out, as the other hosts do: calls in, decisions pulled one by one and carried out."""
+"""The host of one policy: feeds events to it, then pulls its decisions one by one and executes them.
+
+Times are whole nanoseconds of simulated time.
+"""
 
 from typing import TYPE_CHECKING, Any, Protocol
 
@@ -24,7 +27,7 @@
 
 
 class Policy(Protocol):
-    """What `interface.py` documents: a `Balancer`, or a baseline in its place."""
+    """The interface documented in `interface.py`, implemented by `Balancer` and by the baseline policies."""
 
     def learn(self, now: int, entries: list[Entry], whole: bool) -> None: ...
     def list_failed(self, now: int) -> None: ...
@@ -43,310 +46,384 @@
 
 
 class Ask:
-    """One query: one try of a client at what it wants."""
+    """One query: a single try at a wish.
+
+    A wish is what a client wants; all its tries share the wish's number, `offering`, `work` and `luck`.
+
+    Attributes:
+        sent_at: When the client sent this query.
+        hard_stop_at: The instant of its hard stop.
+        first: When the client sent the wish's first query.
+        try_number: Number of this try, from 1.
+        work: Nanoseconds on one core of a server of speed 1.
+        luck: A draw from 0 to 1 that decides whether a failing server fails the query.
+        tenant: The tenant's index, or -1 for none.
+        finished: Whether it has its final answer or its client has left.
+        dispatch_count: How many dispatches were sent for it.
+    """
 
     __slots__ = (
-        "came", "dispatches", "first", "host", "luck", "number", "offering", "over", "stop", "tenant",
-        "tries", "wish", "work",
+        "dispatch_count", "finished", "first", "hard_stop_at", "luck", "number", "offering", "sent_at",
+        "sidecar", "tenant", "try_number", "wish", "work",
     )  # fmt: skip
 
     def __init__(
-        self, number: int, wish: int, host: "Sidecar", offering: int, tenant: int, work: int, luck: float,
-        came: int, stop: int, first: int, tries: int,
+        self, number: int, wish: int, sidecar: "Sidecar", offering: int, tenant: int, work: int, luck: float,
+        sent_at: int, hard_stop_at: int, first: int, try_number: int,
     ) -> None:  # fmt: skip
-        self.number, self.wish, self.host, self.offering, self.tenant = number, wish, host, offering, tenant
-        self.work, self.luck, self.came, self.stop, self.first, self.tries = (
+        self.number, self.wish, self.sidecar, self.offering, self.tenant = (
+            number,
+            wish,
+            sidecar,
+            offering,
+            tenant,
+        )
+        self.work, self.luck, self.sent_at, self.hard_stop_at, self.first, self.try_number = (
             work,
             luck,
-            came,
-            stop,
+            sent_at,
+            hard_stop_at,
             first,
-            tries,
+            try_number,
         )
-        self.over = False  # it has its final answer, or its client has gone
-        self.dispatches = 0
+        self.finished = False
+        self.dispatch_count = 0
 
 
 class Dispatch:
+    """One dispatch of a query to a server.
+
+    Attributes:
+        shot: Index of the dispatch among those of its query, from 0.
+        arrived_at: When the server admitted it, or 0 if it has not.
+        outcome: How it ended, one of the outcomes in `interface.py`; 0 until the server replies.
+        server_incarnation: The server's incarnation when it was sent.
+        finished: Whether the sidecar has seen its end or cancelled it.
+    """
+
     __slots__ = (
-        "arrived", "ask", "host", "how", "life", "over", "report", "sent", "server", "shot",
+        "arrived_at", "finished", "outcome", "query", "report", "sent_at", "server", "server_incarnation",
+        "shot", "sidecar",
     )  # fmt: skip
 
-    def __init__(self, ask: Ask, host: "Sidecar", server: Server, shot: int, sent: int) -> None:
-        self.ask, self.host, self.server, self.shot, self.sent = ask, host, server, shot, sent
-        self.life, self.over = server.life, False
-        self.arrived, self.how = 0, 0
+    def __init__(self, query: Ask, sidecar: "Sidecar", server: Server, shot: int, sent_at: int) -> None:
+        self.query, self.sidecar, self.server, self.shot, self.sent_at = query, sidecar, server, shot, sent_at
+        self.server_incarnation, self.finished = server.incarnation, False
+        self.arrived_at, self.outcome = 0, 0
         self.report: Report | None = None
 
 
-class Line:
-    """The connections between one sidecar and one server."""
+class ConnectionPool:
+    """The connections of one sidecar to one incarnation of a server.
+
+    `active_dispatches` counts the dispatches and connection attempts that occupy them; `idle_timer_set` says
+    whether the idle timeout is scheduled.
+    """
 
-    __slots__ = ("life", "open", "used", "watched")
+    __slots__ = ("active_dispatches", "idle_timer_set", "open_connections", "server_incarnation")
 
-    def __init__(self, life: int) -> None:
-        self.life, self.open, self.used, self.watched = life, 0, 0, False
+    def __init__(self, server_incarnation: int) -> None:
+        self.server_incarnation, self.open_connections, self.active_dispatches, self.idle_timer_set = (
+            server_incarnation,
+            0,
+            0,
+            False,
+        )
 
 
 class Sidecar:
+    """A simulated sidecar: its queries, dispatches, connections and last server list.
+
+    While it is paused, each event that reaches it is postponed to the end of the pause.
+    """
+
     def __init__(self, world: "World", number: int, zone: int) -> None:
         self.world, self.engine, self.number, self.zone = world, world.engine, number, zone
-        self.life = 0
-        self.asks = world.scenario.listed.mode == "ask"
-        self.follows, self.version, self.list_due = not self.asks, 0, 0
-        self.cached: dict[int, Entry] = {}  # its last list: all that outlives a restart
+        self.incarnation = 0
+        self.subscribes = world.scenario.listed.mode == "ask"
+        self.subscribed, self.list_version, self.list_delivery_at = not self.subscribes, 0, 0
+        # Its last list, by server: the only state that survives a restart.
+        self.cached_entries: dict[int, Entry] = {}
         self.held: dict[int, Ask] = {}
-        self.out: dict[tuple[int, int], Dispatch] = {}
-        self.lines: dict[int, Line] = {}
-        self.still = 0  # until when it stands still
-        self.policy: Policy = world.policy(self)
-        self.idle = round(world.scenario.servers.idle * SECOND)
-        self.connect_timeout = round(world.scenario.servers.connect_timeout * SECOND)
-        self.streams = world.scenario.sidecars.streams
-
-    # -- what happens
-
-    def stands(self, do: Any, what: Any) -> bool:
-        """While it stands still all that comes is kept, and read in its order when it goes on."""
-        if self.still <= self.engine.now:
+        self.in_flight: dict[tuple[int, int], Dispatch] = {}  # by query and shot
+        self.pools: dict[int, ConnectionPool] = {}
+        self.paused_until = 0  # end of the latest pause
+        self.policy: Policy = world.create_policy(self)
+        self.idle_timeout_ns = round(world.scenario.servers.idle * SECOND)
+        self.connect_timeout_ns = round(world.scenario.servers.connect_timeout * SECOND)
+        self.streams_per_connection = world.scenario.sidecars.streams
+
+    # -- incoming events
+
+    def defer_while_paused(self, callback: Any, argument: Any) -> bool:
+        """Postpones an event to the end of the pause, in order. Returns False if not paused."""
+        if self.paused_until <= self.engine.now:
             return False
-        self.engine.at(self.still, do, what)
+        self.engine.at(self.paused_until, callback, argument)
         return True
 
-    def stand_still(self, until: int) -> None:
+    def pause(self, until: int) -> None:
         self.world.referee.stood_still(self.number, self.engine.now, until)
-        self.still = until
+        self.paused_until = until
 
     def restart(self) -> None:
-        """Its queries are lost, its connections closed; it knows its last list."""
-        self.life += 1
-        for dispatch in list(self.out.values()):
-            dispatch.over = True
-            self.world.gone_from(dispatch)
-        for number in list(self.lines):
-            self.hang_up(number)
-        lost = list(self.held.values())
+        """Loses its queries, closes its connections and starts a new policy with the cached server list."""
+        self.incarnation += 1
+        for dispatch in list(self.in_flight.values()):
+            dispatch.finished = True
+            self.world.dispatch_ended(dispatch)
+        for server_number in list(self.pools):
+            self.close_connections(server_number)
+        lost_queries = list(self.held.values())
         self.held.clear()
-        self.out.clear()
+        self.in_flight.clear()
         self.world.referee.restarted(self.number)
-        self.policy = self.world.policy(self)
-        self.follows = not self.asks
-        self.policy.learn(self.engine.now, list(self.cached.values()), True)
-        self.settle()
-        for ask in lost:
-            self.world.clients.cut_off(ask)
-
-    def listed(self, what: tuple[list[Entry], bool, int, int]) -> None:
-        if self.stands(self.listed, what):
+        self.policy = self.world.create_policy(self)
+        self.subscribed = not self.subscribes
+        self.policy.learn(self.engine.now, list(self.cached_entries.values()), True)
+        self.execute_decisions()
+        for query in lost_queries:
+            self.world.clients.connection_lost(query)
+
+    def receive_list(self, arguments: tuple[list[Entry], bool, int, int]) -> None:
+        """Handles a list update: (entries, whether it is the whole list, incarnation, when it was sent)."""
+        if self.defer_while_paused(self.receive_list, arguments):
             return
-        entries, whole, life, _ = what
-        if life != self.life:
+        entries, whole, incarnation, _ = arguments
+        if incarnation != self.incarnation:
             return
         now = self.engine.now
         if whole:
-            self.cached.clear()
+            self.cached_entries.clear()
         for entry in entries:
             if entry.condition == GONE:
-                self.cached.pop(entry.upstream, None)
+                self.cached_entries.pop(entry.upstream, None)
             else:
-                self.cached[entry.upstream] = entry
+                self.cached_entries[entry.upstream] = entry
         self.world.referee.told(now, self.number, entries, whole)
         self.policy.learn(now, entries, whole)
-        self.settle()
+        self.execute_decisions()
 
-    def list_lost(self, life: int) -> None:
-        if self.stands(self.list_lost, life) or life != self.life:
+    def list_unavailable(self, incarnation: int) -> None:
+        if self.defer_while_paused(self.list_unavailable, incarnation) or incarnation != self.incarnation:
             return
         self.policy.list_failed(self.engine.now)
-        self.settle()
+        self.execute_decisions()
 
-    def take(self, ask: Ask) -> None:
-        if self.stands(self.take, ask):
+    def receive_query(self, query: Ask) -> None:
+        if self.defer_while_paused(self.receive_query, query):
             return
         now = self.engine.now
-        if ask.over:
-            return  # its client gave up before it was read
-        self.held[ask.number] = ask
-        self.world.referee.taken(now, ask.number, ask.wish, ask.offering, ask.stop, self.number)
-        self.world.log(now, 1, ask.number, self.number)
+        if query.finished:
+            return  # its client left before the sidecar read it
+        self.held[query.number] = query
+        self.world.referee.taken(
+            now, query.number, query.wish, query.offering, query.hard_stop_at, self.number
+        )
+        self.world.record_event(now, 1, query.number, self.number)
         self.policy.take(
-            now, ask.number, ask.offering, ask.stop - now, now - ask.came, ask.tenant, ask.tries > 1
+            now,
+            query.number,
+            query.offering,
+            query.hard_stop_at - now,
+            now - query.sent_at,
+            query.tenant,
+            query.try_number > 1,
         )
-        self.settle()
+        self.execute_decisions()
 
-    def left(self, ask: Ask) -> None:
-        if self.stands(self.left, ask):
+    def client_left(self, query: Ask) -> None:
+        if self.defer_while_paused(self.client_left, query):
             return
-        if self.held.pop(ask.number, None) is not None:
-            self.world.referee.left(self.engine.now, ask.number)
-            self.policy.left(self.engine.now, ask.number)
-            self.settle()
+        if self.held.pop(query.number, None) is not None:
+            self.world.referee.left(self.engine.now, query.number)
+            self.policy.left(self.engine.now, query.number)
+            self.execute_decisions()
 
-    def woken(self, life: int) -> None:
-        if self.stands(self.woken, life) or life != self.life:
+    def wake(self, incarnation: int) -> None:
+        if self.defer_while_paused(self.wake, incarnation) or incarnation != self.incarnation:
             return
         self.policy.woken(self.engine.now)
-        self.settle()
+        self.execute_decisions()
 
-    def heard(self, dispatch: Dispatch) -> None:
-        """An answer, or a broken connection, has come."""
-        if not dispatch.over and not self.stands(self.heard, dispatch):
-            self.end(dispatch, dispatch.how)
+    def receive_reply(self, dispatch: Dispatch) -> None:
+        """Handles an answer or a connection reset from the server."""
+        if not dispatch.finished and not self.defer_while_paused(self.receive_reply, dispatch):
+            self.finish_dispatch(dispatch, dispatch.outcome)
 
     def timed_out(self, dispatch: Dispatch) -> None:
-        if not dispatch.over and not self.stands(self.timed_out, dispatch):
-            self.end(dispatch, TIMED_OUT)
+        if not dispatch.finished and not self.defer_while_paused(self.timed_out, dispatch):
+            self.finish_dispatch(dispatch, TIMED_OUT)
 
     def unreachable(self, dispatch: Dispatch) -> None:
-        if not dispatch.over and not self.stands(self.unreachable, dispatch):
-            self.end(dispatch, UNREACHABLE)
-
-    def end(self, dispatch: Dispatch, how: int) -> None:
-        now, ask = self.engine.now, dispatch.ask
-        self.release(dispatch, how)
-        self.world.referee.ended(ask.number, dispatch.shot, how)
-        self.world.log(now, 4, ask.number * 8 + dispatch.shot, how)
+        if not dispatch.finished and not self.defer_while_paused(self.unreachable, dispatch):
+            self.finish_dispatch(dispatch, UNREACHABLE)
+
+    def finish_dispatch(self, dispatch: Dispatch, outcome: int) -> None:
+        now, query = self.engine.now, dispatch.query
+        self.release_dispatch(dispatch, outcome)
+        self.world.referee.ended(query.number, dispatch.shot, outcome)
+        self.world.record_event(now, 4, query.number * 8 + dispatch.shot, outcome)
         if self.world.story is not None:
-            self.world.story.ended(now, dispatch, how)
-        if how == DONE and self.held.pop(ask.number, None) is not None:
-            self.answered(ask, "done", 0)
+            self.world.story.dispatch_ended(now, dispatch, outcome)
+        if outcome == DONE and self.held.pop(query.number, None) is not None:
+            self.answer(query, "done", 0)
         self.policy.outcome(
-            now, ask.number, dispatch.server.number, dispatch.shot, now - dispatch.sent, how,
-            ask.number not in self.held, dispatch.report,
+            now, query.number, dispatch.server.number, dispatch.shot, now - dispatch.sent_at, outcome,
+            query.number not in self.held, dispatch.report,
         )  # fmt: skip
-        self.settle()
-
-    def release(self, dispatch: Dispatch, how: int) -> None:
-        dispatch.over = True
-        self.out.pop((dispatch.ask.number, dispatch.shot), None)
-        self.world.gone_from(dispatch)
-        line = self.lines.get(dispatch.server.number)
-        if line is None or line.life != dispatch.life:
+        self.execute_decisions()
+
+    def release_dispatch(self, dispatch: Dispatch, outcome: int) -> None:
+        dispatch.finished = True
+        self.in_flight.pop((dispatch.query.number, dispatch.shot), None)
+        self.world.dispatch_ended(dispatch)
+        pool = self.pools.get(dispatch.server.number)
+        if pool is None or pool.server_incarnation != dispatch.server_incarnation:
             return
-        line.used -= 1
-        if how in (DONE, FULL) or self.streams > 1:
-            if not line.used and not line.watched:
-                line.watched = True
-                self.engine.at(self.engine.now + self.idle, self.idled, (dispatch.server.number, line))
-        elif how != UNREACHABLE and line.open:  # what broke or was given up is closed
-            line.open -= 1
+        pool.active_dispatches -= 1
+        if outcome in (DONE, FULL) or self.streams_per_connection > 1:
+            if not pool.active_dispatches and not pool.idle_timer_set:
+                pool.idle_timer_set = True
+                self.engine.at(
+                    self.engine.now + self.idle_timeout_ns, self.idle_expired, (dispatch.server.number, pool)
+                )
+        elif outcome != UNREACHABLE and pool.open_connections:
+            # Without multiplexing, a broken connection or one with an abandoned dispatch is closed.
+            pool.open_connections -= 1
             dispatch.server.connections -= 1
 
-    def idled(self, what: tuple[int, Line]) -> None:
-        number, line = what
-        line.watched = False
-        if not line.used and self.lines.get(number) is line:
-            self.hang_up(number)
+    def idle_expired(self, arguments: tuple[int, ConnectionPool]) -> None:
+        """Closes the connections to a server if none of them is in use when the idle timeout ends."""
+        server_number, pool = arguments
+        pool.idle_timer_set = False
+        if not pool.active_dispatches and self.pools.get(server_number) is pool:
+            self.close_connections(server_number)
 
-    def hang_up(self, number: int) -> None:
-        line, server = self.lines.pop(number), self.world.servers[number]
-        if line.life == server.life:
-            server.connections -= line.open
+    def close_connections(self, server_number: int) -> None:
+        pool, server = self.pools.pop(server_number), self.world.servers[server_number]
+        if pool.server_incarnation == server.incarnation:
+            server.connections -= pool.open_connections
 
-    # -- what is decided
+    # -- decisions
 
-    def settle(self) -> None:
+    def execute_decisions(self) -> None:
+        """Executes the policy's decisions until there are none left."""
         now, decide = self.engine.now, self.policy.decide
-        again: list[Dispatch] = []
+        cancelled: list[Dispatch] = []
         while (decision := decide(now)) is not None:
             verb = decision[0]
             if verb == "dispatch":
                 self.dispatch(now, decision)
             elif verb == "wake":
-                self.engine.at(now + int(decision[1]), self.woken, self.life)
+                self.engine.at(now + int(decision[1]), self.wake, self.incarnation)
             elif verb in ("bounce", "abort"):
-                ask = self.held.pop(int(decision[1]), None)
-                if ask is None:
+                query = self.held.pop(int(decision[1]), None)
+                if query is None:
                     self.world.referee.answered(now, int(decision[1]), str(verb))
                 else:
-                    self.answered(ask, str(verb), int(decision[2]) if verb == "bounce" else 0)
+                    self.answer(query, str(verb), int(decision[2]) if verb == "bounce" else 0)
             elif verb == "cancel":
-                dispatch = self.out.get((int(decision[1]), int(decision[2])))
+                dispatch = self.in_flight.get((int(decision[1]), int(decision[2])))
                 if dispatch is not None:
-                    again.append(dispatch)
+                    cancelled.append(dispatch)
                     self.cancel(dispatch)
             elif verb == "probe":
                 self.probe(now, int(decision[1]))
             elif verb == "follow":
-                self.engine.at(now, self.world.listing.follow, self)
+                self.engine.at(now, self.world.discovery.subscribe, self)
             elif verb == "note":
-                self.world.noted(now, self.number, str(decision[1]))
+                self.world.policy_note(now, self.number, str(decision[1]))
             else:
                 raise TypeError(f"unknown decision {decision!r}")
-        for dispatch in again:  # what arose while decisions were carried out is fed back after the pull
+        # The policy gets the outcomes of cancelled dispatches after all its decisions have been pulled.
+        for dispatch in cancelled:
             self.policy.outcome(
-                now, dispatch.ask.number, dispatch.server.number, dispatch.shot, now - dispatch.sent,
-                CANCELLED, dispatch.ask.number not in self.held, None,
+                now, dispatch.query.number, dispatch.server.number, dispatch.shot, now - dispatch.sent_at,
+                CANCELLED, dispatch.query.number not in self.held, None,
             )  # fmt: skip
-        if again:
-            self.settle()
+        if cancelled:
+            self.execute_decisions()
 
-    def answered(self, ask: Ask, how: str, after: int) -> None:
+    def answer(self, query: Ask, outcome: str, retry_after: int) -> None:
         now = self.engine.now
-        self.world.referee.answered(now, ask.number, how)
-        self.world.log(now, 5, ask.number, {"done": 1, "bounce": 2, "abort": 3}[how])
+        self.world.referee.answered(now, query.number, outcome)
+        self.world.record_event(now, 5, query.number, {"done": 1, "bounce": 2, "abort": 3}[outcome])
         if self.world.story is not None:
-            self.world.story.answered(now, ask, how, after)
-        self.world.clients.answered(ask, how, after)
+            self.world.story.query_answered(now, query, outcome, retry_after)
+        self.world.clients.receive_answer(query, outcome, retry_after)
 
     def dispatch(self, now: int, decision: Decision) -> None:
-        _, number, upstream, limit = decision
-        ask = self.held.get(int(number))
-        server = self.world.by_number(int(upstream))
-        if ask is None or server is None:  # the referee says what is wrong with it
+        _, number, upstream, timeout = decision
+        query = self.held.get(int(number))
+        server = self.world.find_server(int(upstream))
+        if query is None or server is None:  # invalid decision: the referee reports the breach
             self.world.referee.sent(now, int(number), -1, int(upstream), self.number, self.zone)
             return
-        shot, ask.dispatches = ask.dispatches, ask.dispatches + 1
-        dispatch = Dispatch(ask, self, server, shot, now)
-        self.out[ask.number, shot] = dispatch
-        self.world.sent(now, dispatch)
-        self.engine.at(now + int(limit), self.timed_out, dispatch)
-        line = self.lines.get(server.number)
-        if line is None or line.life != server.life:
-            line = self.lines[server.number] = Line(server.life)
-        there = self.world.network.delay(self.zone, server.zone)
-        back = self.world.network.delay(server.zone, self.zone)
-        if line.used >= line.open * self.streams:  # a new connection, a round trip more
-            if server.cut or (server.silent and server.up):
-                self.engine.at(now + self.connect_timeout, self.unreachable, dispatch)
-                line.used += 1
+        shot, query.dispatch_count = query.dispatch_count, query.dispatch_count + 1
+        dispatch = Dispatch(query, self, server, shot, now)
+        self.in_flight[query.number, shot] = dispatch
+        self.world.dispatch_sent(now, dispatch)
+        self.engine.at(now + int(timeout), self.timed_out, dispatch)
+        pool = self.pools.get(server.number)
+        if pool is None or pool.server_incarnation != server.incarnation:
+            pool = self.pools[server.number] = ConnectionPool(server.incarnation)
+        outbound_delay = self.world.network.delay(self.zone, server.zone)
+        return_delay = self.world.network.delay(server.zone, self.zone)
+        # A dispatch that needs a new connection takes one more round trip.
+        if pool.active_dispatches >= pool.open_connections * self.streams_per_connection:
+            if server.partitioned or (server.silent and server.up):
+                self.engine.at(now + self.connect_timeout_ns, self.unreachable, dispatch)
+                pool.active_dispatches += 1
                 return
-            if not server.up or server.connections >= server.terms.connections:
-                self.engine.at(now + there + back, self.unreachable, dispatch)
-                line.used += 1
+            if not server.up or server.connections >= server.settings.connections:
+                self.engine.at(now + outbound_delay + return_delay, self.unreachable, dispatch)
+                pool.active_dispatches += 1
                 return
-            line.open += 1
+            pool.open_connections += 1
             server.connections += 1
-            there += there + back
-        line.used += 1
-        self.engine.at(now + there, server.arrive, dispatch)
+            outbound_delay += outbound_delay + return_delay
+        pool.active_dispatches += 1
+        self.engine.at(now + outbound_delay, server.receive, dispatch)
 
     def cancel(self, dispatch: Dispatch) -> None:
-        self.release(dispatch, CANCELLED)
-        self.world.referee.ended(dispatch.ask.number, dispatch.shot, CANCELLED)
-        there = self.world.network.delay(self.zone, dispatch.server.zone)
-        self.engine.at(self.engine.now + there, dispatch.server.cancel, dispatch)
+        self.release_dispatch(dispatch, CANCELLED)
+        self.world.referee.ended(dispatch.query.number, dispatch.shot, CANCELLED)
+        outbound_delay = self.world.network.delay(self.zone, dispatch.server.zone)
+        self.engine.at(self.engine.now + outbound_delay, dispatch.server.cancel, dispatch)
 
     def probe(self, now: int, upstream: int) -> None:
-        server, network = self.world.by_number(upstream), self.world.network
+        server, network = self.world.find_server(upstream), self.world.network
         if server is None:
             return
-        there, back = network.delay(self.zone, server.zone), network.delay(server.zone, self.zone)
-        self.world.meter.probes += 1
+        outbound_delay, return_delay = (
+            network.delay(self.zone, server.zone),
+            network.delay(server.zone, self.zone),
+        )
+        self.world.meter.probe_count += 1
         if server.reachable():
-            self.engine.at(now + there + back, self.probed, (server, True, self.life, now))
+            self.engine.at(
+                now + outbound_delay + return_delay,
+                self.probe_finished,
+                (server, True, self.incarnation, now),
+            )
         else:
-            wait = self.connect_timeout if server.cut or server.silent else there + back
-            self.engine.at(now + wait, self.probed, (server, False, self.life, now))
-
-    def probed(self, what: tuple[Server, bool, int, int]) -> None:
-        if self.stands(self.probed, what):
+            timeout = (
+                self.connect_timeout_ns
+                if server.partitioned or server.silent
+                else outbound_delay + return_delay
+            )
+            self.engine.at(now + timeout, self.probe_finished, (server, False, self.incarnation, now))
+
+    def probe_finished(self, arguments: tuple[Server, bool, int, int]) -> None:
+        """Handles the end of a probe: (server, success, incarnation of the sidecar, when it was sent)."""
+        if self.defer_while_paused(self.probe_finished, arguments):
             return
-        server, ok, life, sent = what
-        if life == self.life:
-            report = server.report() if ok and server.terms.reports else None
-            self.policy.probed(self.engine.now, server.number, ok, self.engine.now - sent, report)
-            self.settle()
+        server, ok, incarnation, sent_at = arguments
+        if incarnation == self.incarnation:
+            report = server.current_report() if ok and server.settings.reports else None
+            self.policy.probed(self.engine.now, server.number, ok, self.engine.now - sent_at, report)
+            self.execute_decisions()
 
 
 NOT_RUN = frozenset({FULL, UNREACHABLE, MOOT})
--- a/maddercart/lab/story.py
+++ b/maddercart/lab/story.py
@@ -1,4 +1,4 @@
-"""The story of one query or one server, written down while a day is played."""
+"""A trace of one wish or one server, recorded during a run."""
 
 from typing import TYPE_CHECKING
 
@@ -18,68 +18,81 @@
     from maddercart.lab.sidecars import Ask, Dispatch
     from maddercart.lab.world import World
 
-HOW = {DONE: "done", ERROR: "error", FULL: "full", TIMED_OUT: "timed out", UNREACHABLE: "unreachable",
-       RESET: "reset", CANCELLED: "cancelled", MOOT: "moot"}  # fmt: skip
+OUTCOME_NAMES = {DONE: "done", ERROR: "error", FULL: "full", TIMED_OUT: "timed out",
+       UNREACHABLE: "unreachable", RESET: "reset", CANCELLED: "cancelled", MOOT: "moot"}  # fmt: skip
 
 
 class Story:
-    """Tells of one wish (all its tries), or of one server between two times; times are seconds of the day."""
+    """Records the events of one wish (all its tries) or of one server, as lines of (seconds, text).
 
-    MOST = 10_000  # lines
+    `start` and `end` bound the simulated time in seconds; -1 as `wish` or `server` means none.
+    """
+
+    MAX_LINES = 10_000
 
     def __init__(self, wish: int = -1, server: int = -1, start: float = 0.0, end: float = 1e9) -> None:
         self.wish, self.server = wish, server
-        self.start, self.end = start * SECOND, end * SECOND
+        self.start_ns, self.end_ns = start * SECOND, end * SECOND
         self.lines: list[tuple[float, str]] = []
-        self.taker = -1  # the sidecar that took the wish: what it notes belongs to the story
+        # The sidecar that handles the wish, whose notes are traced too; -1: not known yet.
+        self.sidecar_number = -1
 
-    def meet(self, world: "World") -> None:
-        self.names = [f"{s.number} ({world.scenario.zones[s.zone].name})" for s in world.servers]
-        self.offerings = [terms.name for terms in world.scenario.offerings]
+    def attach(self, world: "World") -> None:
+        """Sets the names shown for servers and offerings; called before the run."""
+        self.server_names = [
+            f"{server.number} ({world.scenario.zones[server.zone].name})" for server in world.servers
+        ]
+        self.offering_names = [terms.name for terms in world.scenario.offerings]
 
     def add(self, now: int, text: str) -> None:
-        if self.start <= now <= self.end and len(self.lines) < self.MOST:
+        if self.start_ns <= now <= self.end_ns and len(self.lines) < self.MAX_LINES:
             self.lines.append((now / SECOND, text))
 
-    def asked(self, now: int, ask: "Ask") -> None:
-        if ask.wish == self.wish:
-            self.taker = ask.host.number
-            self.add(now, f"try {ask.tries}, query {ask.number}: {self.offerings[ask.offering]} at sidecar "
-                          f"{ask.host.number}, {ask.work / 1e6:.1f} ms of work, to be answered within "
-                          f"{(ask.stop - now) / 1e6:.0f} ms")  # fmt: skip
-
-    def sent(self, now: int, dispatch: "Dispatch") -> None:
-        ask, server = dispatch.ask, dispatch.server
-        if ask.wish == self.wish:
+    def query_sent(self, now: int, query: "Ask") -> None:
+        if query.wish == self.wish:
+            self.sidecar_number = query.sidecar.number
+            self.add(now, f"try {query.try_number}, query {query.number}: "
+                          f"{self.offering_names[query.offering]} at sidecar {query.sidecar.number}, "
+                          f"{query.work / 1e6:.1f} ms of work, to be answered within "
+                          f"{(query.hard_stop_at - now) / 1e6:.0f} ms")  # fmt: skip
+
+    def dispatch_sent(self, now: int, dispatch: "Dispatch") -> None:
+        query, server = dispatch.query, dispatch.server
+        if query.wish == self.wish:
             state = "up" if server.reachable() else "down, silent or cut off"
-            self.add(now, f"dispatch {dispatch.shot} to server {self.names[server.number]}, {state}, "
-                          f"holding {server.held()} ({len(server.queue)} waiting)")  # fmt: skip
+            self.add(now, f"dispatch {dispatch.shot} to server {self.server_names[server.number]}, {state}, "
+                          f"holding {server.held_count()} ({len(server.queue)} waiting)")  # fmt: skip
         elif server.number == self.server:
-            self.add(now, f"sidecar {dispatch.host.number} sends query {ask.number} (wish {ask.wish})")
+            self.add(now, f"sidecar {dispatch.sidecar.number} sends query {query.number} (wish {query.wish})")
 
-    def started(self, now: int, dispatch: "Dispatch") -> None:
-        if dispatch.ask.wish == self.wish:
+    def dispatch_started(self, now: int, dispatch: "Dispatch") -> None:
+        if dispatch.query.wish == self.wish:
             self.add(
                 now,
-                f"dispatch {dispatch.shot} begins, {(now - dispatch.sent) / 1e6:.1f} ms after it was sent",
+                f"dispatch {dispatch.shot} begins, {(now - dispatch.sent_at) / 1e6:.1f} ms after it was sent",
             )
         elif dispatch.server.number == self.server:
-            self.add(now, f"query {dispatch.ask.number} begins; {dispatch.server.held()} held")
+            self.add(now, f"query {dispatch.query.number} begins; {dispatch.server.held_count()} held")
 
-    def ended(self, now: int, dispatch: "Dispatch", how: int) -> None:
-        took = f"after {(now - dispatch.sent) / 1e6:.1f} ms"
-        if dispatch.ask.wish == self.wish:
-            self.add(now, f"dispatch {dispatch.shot} ends: {HOW[how]}, {took}")
+    def dispatch_ended(self, now: int, dispatch: "Dispatch", outcome: int) -> None:
+        elapsed = f"after {(now - dispatch.sent_at) / 1e6:.1f} ms"
+        if dispatch.query.wish == self.wish:
+            self.add(now, f"dispatch {dispatch.shot} ends: {OUTCOME_NAMES[outcome]}, {elapsed}")
         elif dispatch.server.number == self.server:
             self.add(
-                now, f"query {dispatch.ask.number} of sidecar {dispatch.host.number} ends: {HOW[how]}, {took}"
+                now,
+                f"query {dispatch.query.number} of sidecar {dispatch.sidecar.number} ends: "
+                f"{OUTCOME_NAMES[outcome]}, {elapsed}",
             )
 
-    def answered(self, now: int, ask: "Ask", how: str, after: int) -> None:
-        if ask.wish == self.wish:
-            come_back = f", come back after {after / 1e6:.0f} ms" if after else ""
-            self.add(now, f"final answer: {how}{come_back}, {(now - ask.came) / 1e6:.1f} ms after it came")
+    def query_answered(self, now: int, query: "Ask", outcome: str, retry_after: int) -> None:
+        if query.wish == self.wish:
+            retry_text = f", come back after {retry_after / 1e6:.0f} ms" if retry_after else ""
+            self.add(
+                now,
+                f"final answer: {outcome}{retry_text}, {(now - query.sent_at) / 1e6:.1f} ms after it came",
+            )
 
-    def noted(self, now: int, sidecar: int, text: str) -> None:
-        if sidecar == self.taker or (self.server >= 0 and text.split()[-1] == str(self.server)):
+    def policy_note(self, now: int, sidecar: int, text: str) -> None:
+        if sidecar == self.sidecar_number or (self.server >= 0 and text.split()[-1] == str(self.server)):
             self.add(now, f"sidecar {sidecar} notes: {text}")
--- a/maddercart/lab/troubles.py
+++ b/maddercart/lab/troubles.py
@@ -1,10 +1,10 @@
-"""What goes wrong, at given times and overlapping: the same for each policy, whatever it does."""
+"""Fault injection: applies a scenario's troubles, which may overlap, in the same way under every policy."""
 
 from typing import TYPE_CHECKING
 
 from maddercart.interface import DRAINING, SECOND
 from maddercart.lab.scenario import Scenario, Trouble
-from maddercart.lab.streams import stream
+from maddercart.lab.streams import random_stream
 
 if TYPE_CHECKING:
     from maddercart.lab.servers import Server
@@ -13,155 +13,161 @@
 
 
 class Troubles:
-    """Puts the beginning and the end of each trouble of a scenario on the clock."""
+    """Schedules the beginning and the end of each trouble of a scenario."""
 
     def __init__(self, world: "World", scenario: Scenario, seed: int) -> None:
         self.world, self.engine, self.scenario = world, world.engine, scenario
-        self.hit: list[list[int]] = []  # by trouble: the servers (or sidecars) that it strikes
-        for n, trouble in enumerate(scenario.troubles):
-            at, end = round(trouble.start * SECOND), round(scenario.ends(trouble) * SECOND)
-            source = stream(seed, "troubles", n)
+        self.hit: list[list[int]] = []  # by trouble: numbers of the servers or sidecars affected
+        for index, trouble in enumerate(scenario.troubles):
+            start, end = round(trouble.start * SECOND), round(scenario.ends(trouble) * SECOND)
+            draws = random_stream(seed, "troubles", index)
             if trouble.kind in ("sidecar_restart", "sidecar_pause"):
-                hosts = self.some(world.sidecars, trouble, source)
-                self.hit.append([host.number for host in hosts])
-                for host, place in zip(hosts, source.random(len(hosts)).tolist(), strict=True):
+                sidecars = self.choose_targets(world.sidecars, trouble, draws)
+                self.hit.append([sidecar.number for sidecar in sidecars])
+                for sidecar, draw in zip(sidecars, draws.random(len(sidecars)).tolist(), strict=True):
                     if trouble.kind == "sidecar_pause":
-                        self.engine.at(at, self.pause, (host, end))
+                        self.engine.at(start, self.pause_sidecar, (sidecar, end))
                     else:
-                        self.engine.at(at + int(place * (end - at)), self.restart, host)
+                        self.engine.at(start + int(draw * (end - start)), self.restart_sidecar, sidecar)
                 continue
-            servers = self.some(world.servers, trouble, source)
+            servers = self.choose_targets(world.servers, trouble, draws)
             self.hit.append([server.number for server in servers])
-            self.engine.at(at, self.begin, (trouble, servers))
+            self.engine.at(start, self.begin, (trouble, servers))
             if trouble.kind != "deploy":
                 self.engine.at(end, self.end, (trouble, servers))
 
-    def some(self, those: list, trouble: Trouble, source) -> list:  # type: ignore[no-untyped-def,type-arg]
-        """The share of them in its zone that a trouble strikes, at least one, drawn by the seed alone."""
+    def choose_targets(self, candidates: list, trouble: Trouble, draws) -> list:  # type: ignore[no-untyped-def,type-arg]
+        """Chooses the servers or sidecars that a trouble affects, depending on the seed alone.
+
+        In each of its zones it takes the trouble's share of them, at least one if the share is not 0.
+        """
         zones = [self.scenario.zone(trouble.zone)] if trouble.zone else range(len(self.scenario.zones))
-        struck = []
+        targets = []
         for zone in zones:
-            there = [one for one in those if one.zone == zone]
-            count = max(1, round(trouble.share * len(there))) if there and trouble.share else 0
-            struck += [there[n] for n in sorted(source.permutation(len(there))[:count].tolist())]
-        return struck
+            in_zone = [candidate for candidate in candidates if candidate.zone == zone]
+            count = max(1, round(trouble.share * len(in_zone))) if in_zone and trouble.share else 0
+            targets += [in_zone[n] for n in sorted(draws.permutation(len(in_zone))[:count].tolist())]
+        return targets
 
     # -- beginning and end
 
-    def begin(self, what: "tuple[Trouble, list[Server]]") -> None:
-        trouble, servers = what
-        listing, network = self.world.listing, self.world.network
+    def begin(self, arguments: "tuple[Trouble, list[Server]]") -> None:
+        trouble, servers = arguments
+        discovery, network = self.world.discovery, self.world.network
         match trouble.kind:
             case "slow":
                 for server in servers:
-                    server.slow *= trouble.factor
+                    server.slowdown *= trouble.factor
             case "errors":
                 for server in servers:
                     server.failing = trouble.factor
             case "crash":
                 for server in servers:
-                    server.die()
+                    server.crash()
             case "silent":
                 for server in servers:
                     server.silent = True
             case "zone_lost":
                 for server in servers:
-                    server.cut = True
+                    server.partitioned = True
             case "crowding":
                 for server in servers:
                     server.crowd_from, server.crowd_cost = 1.0, trouble.factor
             case "late_reports":
                 for server in servers:
-                    server.age = round(trouble.factor * SECOND)
+                    server.report_max_age_ns = round(trouble.factor * SECOND)
             case "list_down":
-                listing.set_down(True)
+                discovery.set_down(True)
             case "list_stale":
-                listing.set_stale(True)
+                discovery.set_stale(True)
             case "network":
-                network.slow(trouble.factor, self.zones(trouble))
+                network.scale_delays(trouble.factor, self.affected_zones(trouble))
             case "deploy":
                 self.deploy(trouble, servers)
 
-    def end(self, what: "tuple[Trouble, list[Server]]") -> None:
-        trouble, servers = what
+    def end(self, arguments: "tuple[Trouble, list[Server]]") -> None:
+        trouble, servers = arguments
         match trouble.kind:
             case "slow":
                 for server in servers:
-                    server.slow /= trouble.factor
+                    server.slowdown /= trouble.factor
             case "errors":
                 for server in servers:
                     server.failing = 0.0
             case "crash":
                 for server in servers:
-                    self.back(server, trouble.cold)
+                    self.restore(server, trouble.cold)
             case "silent":
                 for server in servers:
                     server.silent = False
             case "zone_lost":
                 for server in servers:
                     if trouble.cold and server.up:
-                        server.die()
-                    server.cut = False
+                        server.crash()
+                    server.partitioned = False
                     if trouble.cold:
-                        self.back(server, True)
+                        self.restore(server, True)
             case "crowding":
                 for server in servers:
-                    server.crowd_from, server.crowd_cost = server.terms.crowd_from, server.terms.crowd_cost
+                    server.crowd_from, server.crowd_cost = (
+                        server.settings.crowd_from,
+                        server.settings.crowd_cost,
+                    )
             case "late_reports":
                 for server in servers:
-                    server.age = round(server.terms.report_age * SECOND)
+                    server.report_max_age_ns = round(server.settings.report_age * SECOND)
             case "list_down":
-                self.world.listing.set_down(False)
+                self.world.discovery.set_down(False)
             case "list_stale":
-                self.world.listing.set_stale(False)
+                self.world.discovery.set_stale(False)
             case "network":
-                self.world.network.slow(1.0, self.zones(trouble))
+                self.world.network.scale_delays(1.0, self.affected_zones(trouble))
 
-    def zones(self, trouble: Trouble) -> list[int]:
+    def affected_zones(self, trouble: Trouble) -> list[int]:
         return [self.scenario.zone(trouble.zone)] if trouble.zone else list(range(len(self.scenario.zones)))
 
-    def back(self, server: "Server", cold: bool) -> None:
+    def restore(self, server: "Server", cold: bool) -> None:
         if not server.up:
             server.boot(cold)
-        self.world.listing.change([server])
+        self.world.discovery.publish([server])
 
-    # -- a rolling deploy: drained, ended, started anew, zone by zone side by side
+    # -- rolling deploy: batches of servers drain, stop and start again, in all zones concurrently
 
     def deploy(self, trouble: Trouble, servers: "list[Server]") -> None:
         for zone in {server.zone: None for server in servers}:
-            self.drain((trouble, [server for server in servers if server.zone == zone]))
+            self.drain_batch((trouble, [server for server in servers if server.zone == zone]))
 
-    def drain(self, what: "tuple[Trouble, list[Server]]") -> None:
-        trouble, waiting = what
-        batch, rest = waiting[: trouble.batch], waiting[trouble.batch :]
+    def drain_batch(self, arguments: "tuple[Trouble, list[Server]]") -> None:
+        trouble, remaining = arguments
+        batch, rest = remaining[: trouble.batch], remaining[trouble.batch :]
         if not batch or self.engine.now >= round(self.scenario.ends(trouble) * SECOND):
             return
         for server in batch:
             server.condition = DRAINING
-        self.world.listing.change(batch)
-        after = round(self.scenario.servers.drain * SECOND)
-        self.engine.at(self.engine.now + after, self.stop, (trouble, batch, rest))
+        self.world.discovery.publish(batch)
+        delay = round(self.scenario.servers.drain * SECOND)
+        self.engine.at(self.engine.now + delay, self.stop_batch, (trouble, batch, rest))
 
-    def stop(self, what: "tuple[Trouble, list[Server], list[Server]]") -> None:
-        trouble, batch, rest = what
+    def stop_batch(self, arguments: "tuple[Trouble, list[Server], list[Server]]") -> None:
+        trouble, batch, rest = arguments
         for server in batch:
-            server.gone()
-        self.world.listing.change(batch)
-        after = round(self.scenario.servers.boot * SECOND)
-        self.engine.at(self.engine.now + after, self.start, (trouble, batch, rest))
+            server.shut_down()
+        self.world.discovery.publish(batch)
+        delay = round(self.scenario.servers.boot * SECOND)
+        self.engine.at(self.engine.now + delay, self.start_batch, (trouble, batch, rest))
 
-    def start(self, what: "tuple[Trouble, list[Server], list[Server]]") -> None:
-        trouble, batch, rest = what
+    def start_batch(self, arguments: "tuple[Trouble, list[Server], list[Server]]") -> None:
+        trouble, batch, rest = arguments
         for server in batch:
             server.boot(cold=True)
-        self.world.listing.change(batch)
-        self.drain((trouble, rest))
+        self.world.discovery.publish(batch)
+        self.drain_batch((trouble, rest))
 
     # -- sidecars
 
-    def restart(self, host: "Sidecar") -> None:
-        host.restart()
+    def restart_sidecar(self, sidecar: "Sidecar") -> None:
+        sidecar.restart()
 
-    def pause(self, what: "tuple[Sidecar, int]") -> None:
-        host, until = what
-        host.stand_still(until)
+    def pause_sidecar(self, arguments: "tuple[Sidecar, int]") -> None:
+        sidecar, until = arguments
+        sidecar.pause(until)
--- a/maddercart/lab/world.py
+++ b/maddercart/lab/world.py
@@ -1,4 +1,7 @@
-"""One day of one fleet under one policy, from its first query to the last answer."""
+"""A simulated fleet: plays one generated workload under one policy and collects the results.
+
+Times are whole nanoseconds of simulated time unless stated otherwise.
+"""
 
 import gc
 import resource
@@ -12,15 +15,15 @@
 from maddercart.lab import day as days
 from maddercart.lab.clients import Clients
 from maddercart.lab.engine import Engine
-from maddercart.lab.listing import Listing
-from maddercart.lab.meter import STEP, Meter, Result, summary
+from maddercart.lab.listing import DiscoveryService
+from maddercart.lab.meter import STEP, Meter, Result, summarize
 from maddercart.lab.network import Network
 from maddercart.lab.policies import POLICIES
 from maddercart.lab.referee import Referee, Terms
 from maddercart.lab.scenario import Scenario, ScenarioError
 from maddercart.lab.servers import Server
 from maddercart.lab.sidecars import Dispatch, Policy, Sidecar
-from maddercart.lab.streams import factors, number_from, stream
+from maddercart.lab.streams import derive_seed, lognormal_factors, random_stream
 from maddercart.lab.troubles import Troubles
 
 if TYPE_CHECKING:
@@ -28,24 +31,29 @@
 
     from maddercart.lab.story import Story
 
-EFFECTS = {"redoable": i.REDOABLE, "labelled": i.LABELLED, "irreversible": i.IRREVERSIBLE}
-GROUPS = {"everywhere": i.EVERYWHERE, "zone": i.SAME_ZONE, "cell": i.SAME_CELL}
-AFTER = 30.0  # seconds that a day goes on after its last arrival, for what is still held
+EFFECT_BY_NAME = {"redoable": i.REDOABLE, "labelled": i.LABELLED, "irreversible": i.IRREVERSIBLE}
+GROUP_BY_NAME = {"everywhere": i.EVERYWHERE, "zone": i.SAME_ZONE, "cell": i.SAME_CELL}
+# The simulation runs on for this long after the last arrival, so that the queries still held can finish.
+TAIL_SECONDS = 30.0
 
 
 class ModelError(AssertionError):
-    """The model contradicts itself: its figures are worth nothing."""
+    """The model's accounting is inconsistent, so the figures of the run are invalid."""
 
 
-def offering(terms) -> i.Offering:  # type: ignore[no-untyped-def]
+def build_offering(terms) -> i.Offering:  # type: ignore[no-untyped-def]
     return i.Offering(
-        EFFECTS[terms.effect], GROUPS[terms.group], round(terms.window * i.SECOND),
+        EFFECT_BY_NAME[terms.effect], GROUP_BY_NAME[terms.group], round(terms.window * i.SECOND),
         round(terms.agreed * i.SECOND), terms.earnings, terms.late_earnings,
     )  # fmt: skip
 
 
 class World:
-    """`make` builds a policy for a sidecar in place of the one called `policy`: for tests of the referee."""
+    """Wires together the servers, sidecars, clients, network, discovery and troubles of one run.
+
+    `make`, if given, creates each sidecar's policy in place of the one named `policy`; tests of the referee
+    use it. Raises ScenarioError for an unknown policy name.
+    """
 
     def __init__(
         self, scenario: Scenario, seed: int, policy: str = "module", story: "Story | None" = None,
@@ -53,33 +61,35 @@
     ) -> None:  # fmt: skip
         if policy not in POLICIES:
             raise ScenarioError(f"policy {policy!r} is none of {', '.join(POLICIES)}")
-        self.scenario, self.seed, self.name, self.story = scenario, seed, policy, story
-        self.make = make or POLICIES[policy]
+        self.scenario, self.seed, self.policy_name, self.story = scenario, seed, policy, story
+        self.policy_factory = make or POLICIES[policy]
         self.engine = Engine()
-        self.day = days.make(scenario, seed)
-        self.offerings = [offering(terms) for terms in scenario.offerings]
+        self.day = days.generate_workload(scenario, seed)
+        self.offerings = [build_offering(terms) for terms in scenario.offerings]
         self.network = Network(scenario, seed)
-        self.noise = factors(stream(seed, "reports"), scenario.servers.report_noise)
+        self.report_noise = lognormal_factors(random_stream(seed, "reports"), scenario.servers.report_noise)
         self.meter = Meter(scenario, self.day)
-        self.servers = self.build(seed)
+        self.servers = self.build_servers(seed)
         if story is not None:
-            story.meet(self)
+            story.attach(self)
         self.referee = Referee(
             [Terms(terms.effect, terms.group, terms.window) for terms in self.offerings],
             [(server.zone, server.cell) for server in self.servers],
             round(scenario.servers.grace * i.SECOND), scenario.cold.multiple,
             round(scenario.cold.window * i.SECOND),
         )  # fmt: skip
-        self.remembers = round(scenario.servers.remembers * i.SECOND)
-        self.marks: dict[tuple[int, int], int] = {}  # by place that drops repeats and wish: until when
-        self.marked: deque[tuple[int, tuple[int, int]]] = deque()
-        self.fed: dict[
-            int, deque[tuple[int, int]]
-        ] = {}  # by cold server: when and how much came, for the bound
-        self.loads: dict[int, list[tuple[float, float]]] = {}  # by cold server: when, and part of its limit
-        self.recorded = blake2b(digest_size=16)
-        self.events = array("q")
-        self.listing = Listing(self, scenario, seed)
+        self.dedupe_retention_ns = round(scenario.servers.remembers * i.SECOND)
+        # Labelled queries that ran: when the record of (scope that drops repeats, wish) expires.
+        self.dedupe_expiry: dict[tuple[int, int], int] = {}
+        # The same records in order of expiry: (expiry, (scope, wish)).
+        self.dedupe_queue: deque[tuple[int, tuple[int, int]]] = deque()
+        # By cold server: (arrival, work in ns) of what the "bound" policy sent to it within the window.
+        self.cold_work_sent: dict[int, deque[tuple[int, int]]] = {}
+        # By cold server: samples of (seconds, fraction of its load limit).
+        self.cold_loads: dict[int, list[tuple[float, float]]] = {}
+        self.hasher = blake2b(digest_size=16)
+        self.event_buffer = array("q")  # not yet hashed; four numbers an event: time, code, two arguments
+        self.discovery = DiscoveryService(self, scenario, seed)
         self.sidecars: list[Sidecar] = []
         for zone, terms in enumerate(scenario.zones):
             for _ in range(terms.sidecars):
@@ -87,34 +97,37 @@
         self.clients = Clients(self, scenario, self.day, seed)
         self.troubles = Troubles(self, scenario, seed)
 
-    def build(self, seed: int) -> list[Server]:
-        """Kinds by their shares, the same number of each in each zone as far as that goes."""
+    def build_servers(self, seed: int) -> list[Server]:
+        """Assigns kinds to servers by the kinds' shares, spread as evenly as possible within each zone."""
         servers: list[Server] = []
-        total = sum(kind.share for kind in self.scenario.kinds)
-        window = round(self.scenario.cold.ramp * i.SECOND)
+        total_share = sum(kind.share for kind in self.scenario.kinds)
+        ramp_ns = round(self.scenario.cold.ramp * i.SECOND)
         for zone, terms in enumerate(self.scenario.zones):
-            owed = [0.0] * len(self.scenario.kinds)
-            for n in range(terms.servers):
-                owed = [o + kind.share / total for o, kind in zip(owed, self.scenario.kinds, strict=True)]
-                kind = max(range(len(owed)), key=owed.__getitem__)
-                owed[kind] -= 1
-                cell = zone * 1000 + n % terms.cells
+            share_credits = [0.0] * len(self.scenario.kinds)
+            for index in range(terms.servers):
+                share_credits = [
+                    credit + kind.share / total_share
+                    for credit, kind in zip(share_credits, self.scenario.kinds, strict=True)
+                ]
+                kind = max(range(len(share_credits)), key=share_credits.__getitem__)
+                share_credits[kind] -= 1
+                cell = zone * 1000 + index % terms.cells
                 servers.append(Server(self, len(servers), zone, cell, kind, self.scenario.kinds[kind]))
-        source = stream(seed, "cold")
-        for server, place in zip(servers, source.random(len(servers)).tolist(), strict=True):
-            if place < self.scenario.cold.at_start:
-                server.launched = -int(window * source.random())
+        draws = random_stream(seed, "cold")
+        for server, draw in zip(servers, draws.random(len(servers)).tolist(), strict=True):
+            if draw < self.scenario.cold.at_start:
+                server.launched = -int(ramp_ns * draws.random())
         return servers
 
-    def policy(self, host: Sidecar) -> Policy:
-        """A new one, for a sidecar that starts; another life of it draws other numbers."""
+    def create_policy(self, sidecar: Sidecar) -> Policy:
+        """Returns a new policy for a starting sidecar; each incarnation draws other random numbers."""
         scenario, terms = self.scenario, self.scenario.sidecars
-        return self.make(
+        return self.policy_factory(
             self,
-            host,
+            sidecar,
             now=self.engine.now,
-            seed=number_from(self.seed, "decisions", host.number * 1000 + host.life),
-            place=i.Place(host.number, self.count(), host.zone, len(scenario.zones)),
+            seed=derive_seed(self.seed, "decisions", sidecar.number * 1000 + sidecar.incarnation),
+            place=i.Place(sidecar.number, self.sidecar_count(), sidecar.zone, len(scenario.zones)),
             offerings=self.offerings,
             cold=i.ColdRule(
                 scenario.cold.start, round(scenario.cold.ramp * i.SECOND), scenario.cold.multiple,
@@ -128,145 +141,164 @@
             quotas=[tenant.quota for tenant in scenario.tenants],
         )  # fmt: skip
 
-    def count(self) -> int:
+    def sidecar_count(self) -> int:
         return sum(zone.sidecars for zone in self.scenario.zones)
 
-    def by_number(self, upstream: int) -> Server | None:
+    def find_server(self, upstream: int) -> Server | None:
         return self.servers[upstream] if 0 <= upstream < len(self.servers) else None
 
-    # -- what the parts tell
-
-    def log(self, now: int, what: int, one: int, two: int) -> None:
-        """All that happens goes into the digest: two runs that differ anywhere differ there."""
-        events = self.events
-        events.extend((now, what, one, two))
-        if len(events) > 1 << 16:
-            self.recorded.update(events.tobytes())
-            del events[:]
-
-    def sent(self, now: int, dispatch: Dispatch) -> None:
-        ask, server, host = dispatch.ask, dispatch.server, dispatch.host
-        self.referee.sent(now, ask.number, dispatch.shot, server.number, host.number, host.zone)
-        self.log(now, 2, ask.number * 8 + dispatch.shot, server.number)
-        self.meter.sent(now, host.zone, server.zone != host.zone)
+    # -- notifications from the parts of the model
+
+    def record_event(self, now: int, code: int, first: int, second: int) -> None:
+        """Adds an event to the run digest, which differs between any two runs that differ in an event."""
+        buffer = self.event_buffer
+        buffer.extend((now, code, first, second))
+        if len(buffer) > 1 << 16:
+            self.hasher.update(buffer.tobytes())
+            del buffer[:]
+
+    def dispatch_sent(self, now: int, dispatch: Dispatch) -> None:
+        query, server, sidecar = dispatch.query, dispatch.server, dispatch.sidecar
+        self.referee.sent(now, query.number, dispatch.shot, server.number, sidecar.number, sidecar.zone)
+        self.record_event(now, 2, query.number * 8 + dispatch.shot, server.number)
+        self.meter.dispatch_sent(now, sidecar.zone, server.zone != sidecar.zone)
         server.coming += 1
-        server.backlog += ask.work
+        server.backlog += query.work
         if self.story is not None:
-            self.story.sent(now, dispatch)
+            self.story.dispatch_sent(now, dispatch)
 
-    def gone_from(self, dispatch: Dispatch) -> None:
+    def dispatch_ended(self, dispatch: Dispatch) -> None:
         dispatch.server.coming -= 1
-        dispatch.server.backlog -= dispatch.ask.work
+        dispatch.server.backlog -= dispatch.query.work
+
+    def begin_execution(self, server: Server, dispatch: Dispatch) -> bool:
+        """Records that a server runs a query, whether or not it later fails it.
 
-    def run(self, server: Server, dispatch: Dispatch) -> bool:
-        """A server begins a query, or fails it after the fact; false if it drops it as a repeat."""
-        now, ask = self.engine.now, dispatch.ask
-        terms = self.offerings[ask.offering]
-        self.log(now, 3, ask.number * 8 + dispatch.shot, server.number)
+        Returns False if the server drops the query as a repeat.
+        """
+        now, query = self.engine.now, dispatch.query
+        terms = self.offerings[query.offering]
+        self.record_event(now, 3, query.number * 8 + dispatch.shot, server.number)
         if self.story is not None:
-            self.story.started(now, dispatch)
+            self.story.dispatch_started(now, dispatch)
         if terms.effect == i.LABELLED:
-            place = {i.EVERYWHERE: -1, i.SAME_ZONE: server.zone, i.SAME_CELL: server.cell}[terms.group]
-            while self.marked and self.marked[0][0] <= now:
-                self.marks.pop(self.marked.popleft()[1], None)
-            if (place, ask.wish) in self.marks:
+            scope = {i.EVERYWHERE: -1, i.SAME_ZONE: server.zone, i.SAME_CELL: server.cell}[terms.group]
+            while self.dedupe_queue and self.dedupe_queue[0][0] <= now:
+                self.dedupe_expiry.pop(self.dedupe_queue.popleft()[1], None)
+            if (scope, query.wish) in self.dedupe_expiry:
                 return False
-            self.marks[place, ask.wish] = now + self.remembers
-            self.marked.append((now + self.remembers, (place, ask.wish)))
-        self.referee.ran(now, ask.wish, ask.number, server.number, ask.offering)
+            self.dedupe_expiry[scope, query.wish] = now + self.dedupe_retention_ns
+            self.dedupe_queue.append((now + self.dedupe_retention_ns, (scope, query.wish)))
+        self.referee.ran(now, query.wish, query.number, server.number, query.offering)
         return True
 
-    def can(self, server: Server, now: int) -> float:
-        """The work that a cold server can do over the window that ends now: at its middle, growing evenly."""
-        window = round(self.scenario.cold.window * i.SECOND)
-        return server.cores * server.speed * window * server.warmth(now - window // 2)
+    def cold_capacity(self, server: Server, now: int) -> float:
+        """The work (ns on one core) that a cold server can do in the window that ends at `now`.
+
+        Capacity grows linearly, so the window's total is its length times the capacity at its midpoint.
+        """
+        window_ns = round(self.scenario.cold.window * i.SECOND)
+        return server.cores * server.speed * window_ns * server.warm_fraction(now - window_ns // 2)
 
     def may_feed(self, now: int, server: Server, work: int) -> bool:
-        """For the bound: whether one more keeps the server within the rule, with a tenth to spare."""
-        fed = self.fed.setdefault(server.number, deque())
-        window = round(self.scenario.cold.window * i.SECOND)
-        while fed and fed[0][0] <= now - window:
-            fed.popleft()
-        limit = 0.9 * self.scenario.cold.multiple * self.can(server, now)
-        if sum(part for _, part in fed) + work > limit:
+        """Whether the "bound" policy may send `work` ns more to a cold server; if so, counts it as sent.
+
+        The limit is 90% of that of the referee's rule, which leaves a margin.
+        """
+        sent = self.cold_work_sent.setdefault(server.number, deque())
+        window_ns = round(self.scenario.cold.window * i.SECOND)
+        while sent and sent[0][0] <= now - window_ns:
+            sent.popleft()
+        limit_ns = 0.9 * self.scenario.cold.multiple * self.cold_capacity(server, now)
+        if sum(earlier for _, earlier in sent) + work > limit_ns:
             return False
-        fed.append((now, work))
+        sent.append((now, work))
         return True
 
-    def noted(self, now: int, sidecar: int, text: str) -> None:
-        self.meter.noted(now, sidecar, text)
+    def policy_note(self, now: int, sidecar: int, text: str) -> None:
+        self.meter.policy_note(now, sidecar, text)
         if self.story is not None:
-            self.story.noted(now, sidecar, text)
+            self.story.policy_note(now, sidecar, text)
 
-    # -- the day
+    # -- the run
 
     def start(self) -> None:
         for server in self.servers:
-            self.listing.enter(server)
-        whole = list(self.listing.lines.values())
-        for host in self.sidecars:
-            host.version = self.listing.version
-            host.listed((whole, True, 0, 0))
+            self.discovery.update_entry(server)
+        full_list = list(self.discovery.entries.values())
+        for sidecar in self.sidecars:
+            sidecar.list_version = self.discovery.version
+            sidecar.receive_list((full_list, True, 0, 0))
         if self.scenario.listed.loads_every:
-            self.engine.at(round(self.scenario.listed.loads_every * i.SECOND), self.listing.loads)
-        self.engine.at(0, self.watch)
+            self.engine.at(round(self.scenario.listed.loads_every * i.SECOND), self.discovery.publish_loads)
+        self.engine.at(0, self.sample_cold_loads)
 
-    def watch(self, _: None = None) -> None:
-        """Each half second: how near the cold servers come to their limits."""
+    def sample_cold_loads(self, _: None = None) -> None:
+        """Samples the load of each cold server as a fraction of its limit, at each step of the time line."""
         now = self.engine.now
         for server in self.servers:
             if now - server.launched < server.ramp and server.number in self.referee.cold_sums:
-                part = self.referee.cold_sums[server.number] / (
-                    self.scenario.cold.multiple * self.can(server, now)
+                fraction = self.referee.cold_sums[server.number] / (
+                    self.scenario.cold.multiple * self.cold_capacity(server, now)
                 )
-                self.loads.setdefault(server.number, []).append((now / i.SECOND, part))
+                self.cold_loads.setdefault(server.number, []).append((now / i.SECOND, fraction))
         if now < self.scenario.seconds * i.SECOND:
-            self.engine.at(now + int(STEP * i.SECOND), self.watch)
+            self.engine.at(now + int(STEP * i.SECOND), self.sample_cold_loads)
 
     def play(self) -> Result:
-        """Raises ModelError if the model's own books do not add up."""
-        began, cpu = time.perf_counter(), time.process_time()
+        """Runs the simulation to its end. Raises ModelError if the model's accounting is inconsistent."""
+        wall_start, cpu_start = time.perf_counter(), time.process_time()
         gc.collect()
-        gc.freeze()  # what lives as long as the day is not looked through again and again
+        gc.freeze()  # objects that live as long as the run are not scanned by every collection
         try:
             self.start()
             end = round(self.scenario.seconds * i.SECOND)
-            events = self.engine.run(end)
-            events += (
-                self.engine.run(end + round(AFTER * i.SECOND)) if not self.scenario.listed.loads_every else 0
+            event_count = self.engine.run(end)
+            event_count += (
+                self.engine.run(end + round(TAIL_SECONDS * i.SECOND))
+                if not self.scenario.listed.loads_every
+                else 0
             )
-            if self.scenario.listed.loads_every:  # it has no last event
-                events += self.engine.run(
+            if self.scenario.listed.loads_every:  # periodic updates: the event queue never drains
+                event_count += self.engine.run(
                     end + round(max(t.stop for t in self.scenario.offerings) * i.SECOND) + 1
                 )
         finally:
             gc.unfreeze()
         self.referee.close(self.engine.now)
-        self.books()
-        figures, took = summary(self.meter)
-        self.recorded.update(self.events.tobytes())
-        wall = time.perf_counter() - began
+        self.check_accounting()
+        figures, latencies = summarize(self.meter)
+        self.hasher.update(self.event_buffer.tobytes())
+        wall = time.perf_counter() - wall_start
         return Result(
             figures={
-                **figures, "policy": self.name, "seed": self.seed, "scenario": self.scenario.title,
-                "void": self.referee.count, "cold_most": self.referee.cold_most, "events": events,
-                "queries": self.clients.asked, "lines_told": self.listing.told,
-                "wall": wall, "cpu": time.process_time() - cpu,
+                **figures, "policy": self.policy_name, "seed": self.seed, "scenario": self.scenario.title,
+                "void": self.referee.count, "cold_most": self.referee.cold_most, "events": event_count,
+                "queries": self.clients.query_count, "lines_told": self.discovery.entries_sent,
+                "wall": wall, "cpu": time.process_time() - cpu_start,
                 "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-                "digest": self.recorded.hexdigest(), "day": self.day.digest(),
+                "digest": self.hasher.hexdigest(), "day": self.day.digest(),
             },
-            took=took, lines=self.meter.lines, notes=self.meter.notes, cold=self.loads,
+            took=latencies, lines=self.meter.timelines, notes=self.meter.notes, cold=self.cold_loads,
             breaches=[str(breach) for breach in self.referee.breaches],
         )  # fmt: skip
 
-    def books(self) -> None:
-        """Little's law on every server: the area under what it held is the sum of the stays of what came. It
-        fails if a query was lost or doubled inside the model."""
+    def check_accounting(self) -> None:
+        """Checks Little's law on every server and that every wish was sent.
+
+        The time integral of the number of queries held must equal the sum of their sojourn times; it does not
+        if the model loses or duplicates a query.
+        """
         now = self.engine.now
         for server in self.servers:
-            server.note()
-            stays = server.stays + sum(now - d.arrived for d in [*server.running, *server.queue])
-            if server.area != stays:
-                raise ModelError(f"server {server.number}: held {server.area} ns, stays {stays} ns")
-        if self.meter.wishes != len(self.day):
-            raise ModelError(f"{self.meter.wishes} of {len(self.day)} wishes were asked for")
+            server.update_occupancy()
+            sojourn_ns = server.total_sojourn_ns + sum(
+                now - dispatch.arrived_at for dispatch in [*server.running, *server.queue]
+            )
+            if server.occupancy_integral_ns != sojourn_ns:
+                raise ModelError(
+                    f"server {server.number}: occupancy integral of {server.occupancy_integral_ns} ns "
+                    f"differs from the total sojourn time of {sojourn_ns} ns"
+                )
+        if self.meter.wish_count != len(self.day):
+            raise ModelError(f"clients sent queries for {self.meter.wish_count} of {len(self.day)} wishes")
--- a/tests/lab/days.py
+++ b/tests/lab/days.py
@@ -1,4 +1,4 @@
-"""Small days for the lab's tests."""
+"""Small scenarios for the lab's tests."""
 
 from typing import Any
 
@@ -10,24 +10,26 @@
 
 
 def tree(**more: Any) -> dict[str, Any]:
-    """Two zones of four servers of two cores, about four tenths busy, for twelve seconds."""
-    day: dict[str, Any] = {
+    """A scenario as a mapping: two zones of four 2-core servers, about 40% busy, for 12 s."""
+    scenario: dict[str, Any] = {
         "title": "small", "about": "a test", "seconds": 12.0, "warmup": 1.0,
         "zones": [{"name": "a", "servers": 4, "sidecars": 6}, {"name": "b", "servers": 4, "sidecars": 6}],
         "kinds": [{"name": "machine", "cores": 2, "room": 40}],
         "offerings": [LOOK, POST | {"share": 0.3}, ONCE | {"share": 0.2}],
         "flows": [{"rate": 300.0}],
     }  # fmt: skip
-    return day | more
+    return scenario | more
 
 
 def day(**more: Any) -> Scenario:
     return convert(tree(**more), "test")
 
 
-def lone(servers: int, cores: int, load: float, seconds: float) -> Scenario:
-    """One sidecar before servers of exponential work, with no delay and no end to any patience: a queue as in
-    the books. `load` is the part of the cores that is busy; a query's work is 10 ms in the mean."""
+def single_sidecar_queue(servers: int, cores: int, load: float, seconds: float) -> Scenario:
+    """A textbook queue: one sidecar, exponential work, no network delay and unlimited patience.
+
+    `load` is the utilization of the cores; the mean work of a query is 10 ms.
+    """
     return convert(
         {
             "title": "queue", "about": "theory", "seconds": seconds, "warmup": 0.0,
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -1,4 +1,7 @@
-"""The model against theory, and its own books: what is wrong here is wrong in every figure of the lab."""
+"""Checks the lab's model against queueing theory and its own accounting.
+
+An error in the model would distort every figure that the lab reports.
+"""
 
 from math import factorial
 
@@ -10,82 +13,87 @@
 from maddercart.lab.engine import Engine
 from maddercart.lab.results import interval
 from maddercart.lab.scenario import convert
-from maddercart.lab.streams import stream
+from maddercart.lab.streams import random_stream
 from maddercart.lab.world import ModelError, World
-from tests.lab.days import LOOK, day, lone, tree
+from tests.lab.days import LOOK, day, single_sidecar_queue, tree
 
-WORK = 10.0  # milliseconds, the mean
+MEAN_WORK_MS = 10.0
 
 
 def erlang_c(cores: int, load: float) -> float:
-    """How likely a query waits in M/M/c."""
-    offered = load * cores
-    last = offered**cores / factorial(cores) / (1 - load)
-    return last / (sum(offered**n / factorial(n) for n in range(cores)) + last)
+    """The probability that a query waits in an M/M/c queue."""
+    offered_load = load * cores
+    waiting_term = offered_load**cores / factorial(cores) / (1 - load)
+    return waiting_term / (sum(offered_load**n / factorial(n) for n in range(cores)) + waiting_term)
 
 
-def near(measured: list[float], true: float) -> bool:
-    """Within three in a hundred, or within the measurement's own interval."""
-    found = interval(measured)
-    return abs(found.mean - true) <= max(0.03 * true, found.plus_minus)
+def is_close(measured: list[float], expected: float) -> bool:
+    """Whether the mean is within 3% of the expected value, or within its own confidence interval."""
+    estimate = interval(measured)
+    return abs(estimate.mean - expected) <= max(0.03 * expected, estimate.plus_minus)
 
 
 @pytest.mark.parametrize(("cores", "load"), [(1, 0.5), (1, 0.8), (4, 0.7), (16, 0.9)])
-def test_the_mean_wait_is_that_of_erlang(cores: int, load: float) -> None:
-    waits = []
+def test_mean_wait_matches_erlang_c(cores: int, load: float) -> None:
+    mean_waits_ms = []
     for seed in range(4):
         world = World(
-            lone(1, cores, load, 200.0 / cores + 100.0 / cores**0.5 * (load > 0.75)), seed, "random"
+            single_sidecar_queue(1, cores, load, 200.0 / cores + 100.0 / cores**0.5 * (load > 0.75)),
+            seed,
+            "random",
         )
         world.play()
         server = world.servers[0]
-        waits.append(server.waits / server.began / MILLISECOND)
-    true = erlang_c(cores, load) * WORK / (cores * (1 - load))
-    assert near(waits, true), (waits, true)
+        mean_waits_ms.append(server.total_wait_ns / server.started_count / MILLISECOND)
+    expected_ms = erlang_c(cores, load) * MEAN_WORK_MS / (cores * (1 - load))
+    assert is_close(mean_waits_ms, expected_ms), (mean_waits_ms, expected_ms)
 
 
 @pytest.mark.parametrize("load", [0.5, 0.7, 0.9])
-def test_two_choices_leave_the_tail_that_theory_gives(load: float) -> None:
-    """Of many servers, load^(2^k - 1) hold k or more; a rarer one is not told by so short a day."""
+def test_two_choices_occupancy_tail_matches_theory(load: float) -> None:
+    """Of many servers a fraction load^(2^k - 1) holds k or more; the runs are too short for rare levels."""
     levels = [k for k in (1, 2, 3) if load ** (2**k - 1) > 0.02]
-    found: dict[int, list[float]] = {k: [] for k in levels}
+    fractions: dict[int, list[float]] = {k: [] for k in levels}
     for seed in range(3):
-        world = World(lone(150, 1, load, 5.0), seed, "two_choices")
-        held: list[np.ndarray] = []
+        world = World(single_sidecar_queue(150, 1, load, 5.0), seed, "two_choices")
+        samples: list[np.ndarray] = []
 
-        def look(_: None, world: World = world, held: list = held) -> None:
-            held.append(np.array([server.held() for server in world.servers]))
+        def sample(_: None, world: World = world, samples: list = samples) -> None:
+            samples.append(np.array([server.held_count() for server in world.servers]))
             if world.engine.now < 5 * SECOND:
-                world.engine.at(world.engine.now + 20 * MILLISECOND, look)
+                world.engine.at(world.engine.now + 20 * MILLISECOND, sample)
 
-        world.engine.at(SECOND, look)  # by then it is in its ordinary state
+        world.engine.at(SECOND, sample)  # after the warm-up to the steady state
         world.play()
         for k in levels:
-            found[k].append(float(np.mean(np.array(held[:-1]) >= k)))
+            fractions[k].append(float(np.mean(np.array(samples[:-1]) >= k)))
     for k in levels:
-        assert near(found[k], load ** (2**k - 1)), (k, found[k], load ** (2**k - 1))
+        assert is_close(fractions[k], load ** (2**k - 1)), (k, fractions[k], load ** (2**k - 1))
 
 
-def test_a_query_that_is_lost_inside_the_model_is_found_by_its_books() -> None:
-    """Guards Little's law on every run: without it a job dropped by a bug would look like a short queue."""
+def test_accounting_check_detects_a_query_lost_in_the_model() -> None:
+    """Guards the check of Little's law: without it, a query lost by a bug would look like a shorter queue."""
     world = World(day(), 1)
     world.engine.at(3 * SECOND, lambda _: world.servers[0].running.clear())
     with pytest.raises((ModelError, KeyError)):
         world.play()
     world = World(day(), 1)
-    world.engine.at(3 * SECOND, lambda _: setattr(world.servers[1], "stays", world.servers[1].stays + 1))
+    world.engine.at(
+        3 * SECOND,
+        lambda _: setattr(world.servers[1], "total_sojourn_ns", world.servers[1].total_sojourn_ns + 1),
+    )
     with pytest.raises(ModelError, match="server 1"):
         world.play()
 
 
-def test_events_of_one_instant_come_in_the_order_in_which_they_were_put() -> None:
-    engine, came = Engine(), []
+def test_simultaneous_events_run_in_scheduling_order_and_past_events_are_rejected() -> None:
+    engine, order = Engine(), []
     for n in (3, 1, 2):
-        engine.at(n % 2, came.append, n)
+        engine.at(n % 2, order.append, n)
     engine.run(5)
-    assert came == [2, 3, 1]
+    assert order == [2, 3, 1]
     with pytest.raises(ValueError, match="before"):
-        engine.at(4, came.append, 0)
+        engine.at(4, order.append, 0)
 
 
 @pytest.mark.parametrize(
@@ -97,75 +105,86 @@
         ({"rate": 400.0, "kind": "bursty", "every": 0.2, "depth": 0.25}, 400.0),
     ],
 )
-def test_a_flow_has_the_rate_that_it_is_given(flow: dict, mean: float) -> None:
-    counts = [len(days.make(day(flows=[flow], seconds=100.0), seed)) / 100 for seed in range(8)]
-    assert near(counts, mean)
+def test_mean_arrival_rate_matches_the_flow(flow: dict, mean: float) -> None:
+    rates = [len(days.generate_workload(day(flows=[flow], seconds=100.0), seed)) / 100 for seed in range(8)]
+    assert is_close(rates, mean)
 
 
-def test_bursts_are_bursts_and_a_flash_has_its_peak() -> None:
-    bursty = days.make(
+def test_bursty_flow_is_overdispersed_and_flash_flow_reaches_its_peak() -> None:
+    bursty = days.generate_workload(
         day(flows=[{"rate": 300.0, "kind": "bursty", "every": 1.0, "depth": 0.2}], seconds=60.0), 1
     )
-    each = np.bincount((bursty.at // (SECOND // 4)).astype(int))
-    assert each.var() > 20 * each.mean(), "a Poisson process has as much variance as mean"
-    flash = days.make(day(flows=[{"rate": 0.0, "kind": "flash", "to": 900.0, "start": 2.0}]), 1)
-    each = np.bincount((flash.at // SECOND).astype(int))
-    assert each[:2].sum() == 0 and each[-1] < each.max() / 5
+    counts = np.bincount((bursty.arrival_ns // (SECOND // 4)).astype(int))
+    assert counts.var() > 20 * counts.mean(), "the variance of a Poisson process equals its mean"
+    flash = days.generate_workload(day(flows=[{"rate": 0.0, "kind": "flash", "to": 900.0, "start": 2.0}]), 1)
+    counts = np.bincount((flash.arrival_ns // SECOND).astype(int))
+    assert counts[:2].sum() == 0 and counts[-1] < counts.max() / 5
     flow = day(flows=[{"rate": 0.0, "kind": "flash", "to": 900.0, "start": 2.0}]).flows[0]
-    assert days.intensity(flow, 12.0, stream(1, "x"))[1].max() == pytest.approx(900.0, rel=0.02)
+    assert days.intensity(flow, 12.0, random_stream(1, "x"))[1].max() == pytest.approx(900.0, rel=0.02)
 
 
-def test_works_have_their_mean_and_streams_do_not_move_each_other() -> None:
+def test_work_has_the_configured_mean_and_random_streams_are_independent() -> None:
     for shape in ("fixed", "exponential", "lognormal"):
         terms = convert(tree(offerings=[{"name": "x", "shape": shape, "work_ms": 20.0, "spread": 1.0}]), "t")
-        drawn = days.works(terms.offerings[0], 200_000, stream(3, "work"))
+        drawn = days.draw_work_ms(terms.offerings[0], 200_000, random_stream(3, "work"))
         assert drawn.mean() == pytest.approx(20.0, rel=0.02)
-    one, two = days.make(day(), 5), days.make(day(network={"jitter": 0.5}, cold={"at_start": 0.5}), 5)
-    assert one.digest() == two.digest(), "what servers and network draw moves no arrival"
+    one, two = (
+        days.generate_workload(day(), 5),
+        days.generate_workload(day(network={"jitter": 0.5}, cold={"at_start": 0.5}), 5),
+    )
+    assert one.digest() == two.digest(), "random draws for servers and network must not change the arrivals"
 
 
-def test_a_cold_server_warms_and_a_crowded_one_slows_down() -> None:
+def test_cold_server_warms_up_and_crowded_server_slows_down() -> None:
     world = World(day(cold={"start": 0.25, "ramp": 8.0}, servers={"crowd_from": 1.0, "crowd_cost": 0.5}), 1)
     server = world.servers[0]
     server.launched = 0
-    assert [server.warmth(at * SECOND) for at in (0, 4, 8, 99)] == [0.25, 0.625, 1.0, 1.0]
-    quick = World(day(), 2).play().figures
-    slow = World(day(servers={"crowd_from": 0.1, "crowd_cost": 2.0}), 2).play().figures
-    assert float(slow["p50"]) > 1.3 * float(quick["p50"])
+    assert [server.warm_fraction(seconds * SECOND) for seconds in (0, 4, 8, 99)] == [0.25, 0.625, 1.0, 1.0]
+    uncrowded = World(day(), 2).play().figures
+    crowded = World(day(servers={"crowd_from": 0.1, "crowd_cost": 2.0}), 2).play().figures
+    assert float(crowded["p50"]) > 1.3 * float(uncrowded["p50"])
 
 
-def test_a_server_of_few_connections_refuses_the_rest_and_pays_for_those_it_has() -> None:
-    few = World(day(servers={"connections": 2}, clients={"retry": "none"}), 1)
-    few.play()
-    assert max(server.connections for server in few.servers) <= 2
-    # Guards the count of connections: one that was closed twice would let in one more each time.
-    assert all(server.connections >= 0 for server in few.servers)
-    dear = World(day(servers={"connection_cost": 0.2}), 1).play().figures
-    assert float(dear["p50"]) > float(World(day(), 1).play().figures["p50"])
+def test_server_enforces_its_connection_limit_and_connections_cost_capacity() -> None:
+    limited = World(day(servers={"connections": 2}, clients={"retry": "none"}), 1)
+    limited.play()
+    assert max(server.connections for server in limited.servers) <= 2
+    # A connection that is closed twice would let the server accept one too many.
+    assert all(server.connections >= 0 for server in limited.servers)
+    costly = World(day(servers={"connection_cost": 0.2}), 1).play().figures
+    assert float(costly["p50"]) > float(World(day(), 1).play().figures["p50"])
 
 
-def test_lost_messages_come_late_and_far_zones_take_their_time() -> None:
-    calm = World(day(), 1).play().figures
+def test_lost_messages_arrive_late_and_configured_zone_delays_apply_both_ways() -> None:
+    lossless = World(day(), 1).play().figures
     lossy = World(day(network={"loss": 0.05}), 1).play().figures
-    assert float(lossy["p95"]) > float(calm["p95"]) + 0.1, "a message in twenty waits 200 ms to be sent again"
+    assert float(lossy["p95"]) > float(lossless["p95"]) + 0.1, (
+        "one message in twenty is retransmitted after 200 ms"
+    )
     world = World(day(network={"delays_ms": {"b-a": 70.0}, "jitter": 0.0}), 1)
     assert world.network.delay(0, 1) == world.network.delay(1, 0) == 70 * MILLISECOND
 
 
-def test_a_list_of_few_lines_a_second_tells_late() -> None:
-    """Guards the list's limit: all are told at once only where it can do so many lines."""
+def test_list_updates_are_delayed_by_a_low_line_rate() -> None:
+    """Guards the rate limit of the list: updates must queue up when there are more than it can send."""
     trouble = [{"kind": "deploy", "start": 1.0, "end": 12.0, "batch": 4}]
-    quick = World(day(troubles=trouble, list={"late": 0.0}), 1)
+    fast = World(day(troubles=trouble, list={"late": 0.0}), 1)
     slow = World(day(troubles=trouble, list={"late": 0.0, "lines_per_s": 20.0}), 1)
-    assert float(quick.play().figures["share"]) > float(slow.play().figures["share"])
-    assert slow.listing.free > quick.listing.free
+    assert float(fast.play().figures["share"]) > float(slow.play().figures["share"])
+    assert slow.discovery.busy_until > fast.discovery.busy_until
 
 
-def test_clients_retry_as_they_are_made() -> None:
+def test_clients_retry_as_configured() -> None:
     trouble = [{"kind": "zone_lost", "zone": zone, "start": 2.0, "end": 6.0} for zone in "ab"]
-    asked = {}
-    for retry in ("none", "at_once", "wait", "honour"):  # a refusal of this policy says: after a second
+    queries_per_wish = {}
+    for retry in ("none", "at_once", "wait", "honour"):  # this policy's bounces ask for a retry after 1 s
         scenario = day(troubles=trouble, clients={"retry": retry, "tries": 99, "wait": 0.3}, offerings=[LOOK])
         world = World(scenario, 1, "random")
-        asked[retry] = int(world.play().figures["queries"]) / len(world.day)
-    assert asked["none"] == 1.0 < asked["honour"] < asked["wait"] < asked["at_once"], asked
+        queries_per_wish[retry] = int(world.play().figures["queries"]) / len(world.day)
+    assert (
+        queries_per_wish["none"]
+        == 1.0
+        < queries_per_wish["honour"]
+        < queries_per_wish["wait"]
+        < queries_per_wish["at_once"]
+    ), queries_per_wish
