--- a/maddercart/rig/commands.py
+++ b/maddercart/rig/commands.py
@@ -149,7 +149,9 @@
         figures = play(seed)
         broke += bool(figures.broken)
         counted = f"asked {figures.asked}, done {figures.done}, withdrawn {figures.withdrawn}"
-        typer.echo(f"{seed}: {figures.words}; {counted}; rules {'BROKEN' if figures.broken else 'kept'}")
+        typer.echo(
+            f"{seed}: {figures.description}; {counted}; rules {'BROKEN' if figures.broken else 'kept'}"
+        )
         for line in figures.broken[:5]:
             typer.echo(f"    {line}")
     typer.echo(f"{count} plays, rules broken in {broke}")
--- a/maddercart/rig/network.py
+++ b/maddercart/rig/network.py
@@ -1,6 +1,8 @@
-"""A stand-in for the machine: a network and a clock in which real sidecar code runs in one thread, in little
-time and the same each time. One side of each connection is a socket as the sidecar knows them (`Sock`), the
-other an `End` that calls back."""
+"""A deterministic simulation of sockets, epoll and the clock, for real sidecar code in one thread.
+
+Simulated time advances as the code waits, so a run takes little real time and always gives the same result.
+The sidecar's side of a connection is a `SimulatedSocket`; the other side is a `RemoteEnd` with callbacks.
+"""
 
 import errno
 import select
@@ -15,132 +17,144 @@
 from maddercart.net.machine import Machine
 
 Address = tuple[str, int]
-START = 1_700_000_000 * SECOND  # Unix time, so that list entries may say when an upstream was launched
+# A Unix time, so that list entries can state when an upstream was launched.
+START_TIME_NS = 1_700_000_000 * SECOND
 MICROSECOND = MILLISECOND // 1000
-READ_CLOCK, LOOK = 2 * MICROSECOND, 20 * MICROSECOND  # what a look takes: time goes on anyhow
-WAY = 300 * MICROSECOND  # between two machines
+# Reading the clock and polling take time, so that time advances even if the code never waits.
+CLOCK_READ_NS, POLL_NS = 2 * MICROSECOND, 20 * MICROSECOND
+ONE_WAY_DELAY_NS = 300 * MICROSECOND  # network latency between two machines
 
 
-class Network(Machine):
-    """The clock, what is due on it, and who listens where."""
+class SimulatedNetwork(Machine):
+    """Holds the clock, the scheduled callbacks and the listeners; stands in for `Machine`."""
 
     def __init__(self) -> None:
-        self.now = START
-        self.due: list[tuple[int, int, Callable[[], None]]] = []
-        self.order, self.descriptors = count(), count(3)
-        self.epolls: list[Epoll] = []
-        self.socks: dict[int, Sock] = {}
-        self.listening: dict[Address, Callable[[], End] | Sock] = {}
-        self.bound: dict[Address, Callable[[bytes, Address], None] | Sock] = {}
-        self.comes_up: Callable[[Address], int] = lambda to: WAY  # after how long; below 0: never
+        self.now = START_TIME_NS
+        # A heap of (due at, sequence number, callback).
+        self.scheduled: list[tuple[int, int, Callable[[], None]]] = []
+        self.sequence, self.descriptor_numbers = count(), count(3)
+        self.epolls: list[SimulatedEpoll] = []
+        self.sockets: dict[int, SimulatedSocket] = {}
+        self.listeners: dict[Address, Callable[[], RemoteEnd] | SimulatedSocket] = {}
+        self.datagram_receivers: dict[Address, Callable[[bytes, Address], None] | SimulatedSocket] = {}
+        # Time until a connection to an address is established; negative: never.
+        self.connect_delay: Callable[[Address], int] = lambda address: ONE_WAY_DELAY_NS
 
     def clock(self) -> int:
-        self.now += READ_CLOCK
+        self.now += CLOCK_READ_NS
         return self.now
 
-    def at(self, when: int, call: Callable[[], None]) -> None:
-        heappush(self.due, (max(when, self.now), next(self.order), call))
+    def schedule_at(self, due_at: int, callback: Callable[[], None]) -> None:
+        heappush(self.scheduled, (max(due_at, self.now), next(self.sequence), callback))
 
-    def after(self, span: int, call: Callable[[], None]) -> None:
-        self.at(self.now + span, call)
+    def schedule_after(self, delay: int, callback: Callable[[], None]) -> None:
+        self.schedule_at(self.now + delay, callback)
 
-    def step(self, until: int) -> bool:
-        """To the next thing that is due, or to a time; true if something was."""
-        if self.due and self.due[0][0] <= until:
-            when, _, call = heappop(self.due)
-            self.now = max(self.now, when)
-            call()
+    def advance(self, until: int) -> bool:
+        """Runs the next callback due by `until`, or moves the clock there; returns whether one ran."""
+        if self.scheduled and self.scheduled[0][0] <= until:
+            due_at, _, callback = heappop(self.scheduled)
+            self.now = max(self.now, due_at)
+            callback()
             return True
         self.now = max(self.now, until)
         return False
 
-    # -- as a machine
+    # -- the interface of Machine
 
     def epoll(self) -> select.epoll:
-        return cast(select.epoll, Epoll(self))
+        return cast(select.epoll, SimulatedEpoll(self))
 
     def tcp(self) -> socket.socket:
-        return cast(socket.socket, Sock(self))
+        return cast(socket.socket, SimulatedSocket(self))
 
     def udp(self) -> socket.socket:
-        return cast(socket.socket, Sock(self))
+        return cast(socket.socket, SimulatedSocket(self))
 
-    # -- for those on the other side
+    # -- for the remote ends
 
-    def connect(self, to: Address, end: "End") -> bool:
-        """From outside to a sidecar that listens; false if it does not."""
-        ear = self.listening.get(to)
-        if not isinstance(ear, Sock) or ear.closed:
+    def connect(self, address: Address, remote: "RemoteEnd") -> bool:
+        """Connects a remote end to a listening sidecar; returns False if nothing listens there."""
+        listener = self.listeners.get(address)
+        if not isinstance(listener, SimulatedSocket) or listener.closed:
             return False
-        sock = Sock(self)
-        sock.end, sock.up, end.sock = end, True, sock
-        ear.waiting.append(sock)
+        sock = SimulatedSocket(self)
+        sock.remote, sock.connected, remote.socket = remote, True, sock
+        listener.accept_queue.append(sock)
         return True
 
-    def datagram(self, to: Address, data: bytes, sender: Address) -> None:
+    def deliver_datagram(self, address: Address, data: bytes, sender: Address) -> None:
         def arrive() -> None:
-            at = self.bound.get(to)
-            if isinstance(at, Sock):
-                at.datagrams.append((data, sender))
-            elif at is not None:
-                at(data, sender)
+            receiver = self.datagram_receivers.get(address)
+            if isinstance(receiver, SimulatedSocket):
+                receiver.datagrams.append((data, sender))
+            elif receiver is not None:
+                receiver(data, sender)
+
+        self.schedule_after(ONE_WAY_DELAY_NS, arrive)
 
-        self.after(WAY, arrive)
 
+class RemoteEnd:
+    """The remote side of a connection to the sidecar.
 
-class End:
-    """The far side of a connection. What it is sent comes by `came`, the near side's end by `over`."""
+    `on_data` is called with data that arrives, `on_closed` when the sidecar has closed or shut down its side.
+    """
 
-    def __init__(self, network: Network) -> None:
+    def __init__(self, network: SimulatedNetwork) -> None:
         self.network = network
-        self.sock: Sock | None = None
+        self.socket: SimulatedSocket | None = None
         self.closed = False
 
-    def wrote(self, data: bytes) -> None:
-        """The near side has just handed this over: it arrives later."""
+    def on_sent(self, data: bytes) -> None:
+        """Called as the sidecar sends data, before it arrives."""
 
-    def came(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         pass
 
-    def over(self) -> None:
+    def on_closed(self) -> None:
         pass
 
     def send(self, data: bytes) -> None:
         def arrive() -> None:
-            if self.sock is not None and not self.sock.closed:
-                self.sock.inbox += data
+            if self.socket is not None and not self.socket.closed:
+                self.socket.receive_buffer += data
 
         if not self.closed:
-            self.network.after(WAY, arrive)
+            self.network.schedule_after(ONE_WAY_DELAY_NS, arrive)
 
     def close(self, reset: bool = False) -> None:
         def arrive() -> None:
-            if self.sock is not None:
-                self.sock.ended = True
-                self.sock.error = errno.ECONNRESET if reset else self.sock.error
+            if self.socket is not None:
+                self.socket.remote_closed = True
+                self.socket.error = errno.ECONNRESET if reset else self.socket.error
 
         if not self.closed:
             self.closed = True
-            self.network.after(WAY, arrive)
+            self.network.schedule_after(ONE_WAY_DELAY_NS, arrive)
 
 
-class Sock:
-    """What of a non-blocking socket the sidecar uses."""
+class SimulatedSocket:
+    """The part of a non-blocking socket's interface that the sidecar uses."""
 
-    def __init__(self, network: Network) -> None:
-        self.network, self.fd = network, next(network.descriptors)
-        network.socks[self.fd] = self
-        self.end: End | None = None
-        self.up = self.ended = self.closed = False
+    def __init__(self, network: SimulatedNetwork) -> None:
+        self.network, self.fd = network, next(network.descriptor_numbers)
+        network.sockets[self.fd] = self
+        self.remote: RemoteEnd | None = None
+        self.connected = self.remote_closed = self.closed = False
         self.error = 0
-        self.inbox = bytearray()
-        self.waiting: deque[Sock] = deque()  # connections to be accepted
-        self.datagrams: deque[tuple[bytes, Address]] = deque()
-        self.name: Address = ("127.0.0.1", 0)
-
-    def events(self) -> int:
-        shown = select.EPOLLIN if self.inbox or self.ended or self.waiting or self.datagrams else 0
-        return shown | (select.EPOLLOUT if self.up or self.error else 0)
+        self.receive_buffer = bytearray()
+        self.accept_queue: deque[SimulatedSocket] = deque()  # connections not yet accepted
+        self.datagrams: deque[tuple[bytes, Address]] = deque()  # (data, sender)
+        self.address: Address = ("127.0.0.1", 0)
+
+    def ready_events(self) -> int:
+        """The epoll event mask of what is ready."""
+        events = (
+            select.EPOLLIN
+            if self.receive_buffer or self.remote_closed or self.accept_queue or self.datagrams
+            else 0
+        )
+        return events | (select.EPOLLOUT if self.connected or self.error else 0)
 
     def fileno(self) -> int:
         return -1 if self.closed else self.fd
@@ -155,119 +169,131 @@
         return self.error
 
     def getsockname(self) -> Address:
-        return self.name
+        return self.address
 
-    def bind(self, at: Address) -> None:
-        self.name = at
-        self.network.bound[at] = self
+    def bind(self, address: Address) -> None:
+        self.address = address
+        self.network.datagram_receivers[address] = self
 
     def listen(self, _: int) -> None:
-        del self.network.bound[self.name]
-        self.network.listening[self.name] = self
+        del self.network.datagram_receivers[self.address]
+        self.network.listeners[self.address] = self
 
-    def accept(self) -> tuple["Sock", Address]:
-        if not self.waiting:
+    def accept(self) -> tuple["SimulatedSocket", Address]:
+        if not self.accept_queue:
             raise BlockingIOError
-        return self.waiting.popleft(), ("127.0.0.1", 1)
+        return self.accept_queue.popleft(), ("127.0.0.1", 1)
 
-    def connect_ex(self, to: Address) -> int:
-        def come_up() -> None:
-            far = self.network.listening.get(to)
+    def connect_ex(self, address: Address) -> int:
+        def complete() -> None:
+            target = self.network.listeners.get(address)
             if self.closed:
                 return
-            if far is None or isinstance(far, Sock):
+            if target is None or isinstance(target, SimulatedSocket):
                 self.error = errno.ECONNREFUSED
                 return
-            self.end, self.up = far(), True
-            self.end.sock = self
+            self.remote, self.connected = target(), True
+            self.remote.socket = self
 
-        if (after := self.network.comes_up(to)) >= 0:
-            self.network.after(after, come_up)
+        if (delay := self.network.connect_delay(address)) >= 0:
+            self.network.schedule_after(delay, complete)
         return errno.EINPROGRESS
 
     def send(self, data: bytes | memoryview) -> int:
-        if self.error or self.ended or self.end is None:
+        if self.error or self.remote_closed or self.remote is None:
             raise BrokenPipeError
-        whole, end = bytes(data), self.end
-        end.wrote(whole)
-        self.network.after(WAY, lambda: None if end.closed else end.came(whole))
-        return len(whole)
+        sent, remote = bytes(data), self.remote
+        remote.on_sent(sent)
+        self.network.schedule_after(ONE_WAY_DELAY_NS, lambda: None if remote.closed else remote.on_data(sent))
+        return len(sent)
 
-    def recv(self, most: int, flags: int = 0) -> bytes:
+    def recv(self, max_bytes: int, flags: int = 0) -> bytes:
         if self.error:
             raise ConnectionResetError
-        if not self.inbox:
-            if self.ended:
+        if not self.receive_buffer:
+            if self.remote_closed:
                 return b""
             raise BlockingIOError
-        data = bytes(self.inbox[:most])
+        data = bytes(self.receive_buffer[:max_bytes])
         if not flags & socket.MSG_PEEK:
-            del self.inbox[:most]
+            del self.receive_buffer[:max_bytes]
         return data
 
-    def sendto(self, data: bytes, to: Address) -> int:
-        self.network.datagram(to, data, self.name)
+    def sendto(self, data: bytes, address: Address) -> int:
+        self.network.deliver_datagram(address, data, self.address)
         return len(data)
 
-    def recvfrom(self, most: int) -> tuple[bytes, Address]:
+    def recvfrom(self, max_bytes: int) -> tuple[bytes, Address]:
         if not self.datagrams:
             raise BlockingIOError
         data, sender = self.datagrams.popleft()
-        return data[:most], sender
+        return data[:max_bytes], sender
 
     def shutdown(self, _: int) -> None:
-        self.tell_end()
+        self.notify_closed()
 
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            del self.network.socks[self.fd]
-            self.network.listening = {a: s for a, s in self.network.listening.items() if s is not self}
-            self.network.bound = {a: s for a, s in self.network.bound.items() if s is not self}
+            del self.network.sockets[self.fd]
+            self.network.listeners = {
+                address: owner for address, owner in self.network.listeners.items() if owner is not self
+            }
+            self.network.datagram_receivers = {
+                address: owner
+                for address, owner in self.network.datagram_receivers.items()
+                if owner is not self
+            }
             for epoll in self.network.epolls:
-                epoll.watched.pop(self.fd, None)
-            self.tell_end()
+                epoll.registered.pop(self.fd, None)
+            self.notify_closed()
 
-    def tell_end(self) -> None:
-        if (end := self.end) is not None:
-            self.network.after(WAY, lambda: None if end.closed else end.over())
+    def notify_closed(self) -> None:
+        if (remote := self.remote) is not None:
+            self.network.schedule_after(
+                ONE_WAY_DELAY_NS, lambda: None if remote.closed else remote.on_closed()
+            )
 
 
-class Epoll:
-    """Level-triggered; waiting lets the network's time go by."""
+class SimulatedEpoll:
+    """Level-triggered epoll; waiting in `poll` advances the simulated clock."""
 
-    def __init__(self, network: Network) -> None:
+    def __init__(self, network: SimulatedNetwork) -> None:
         self.network = network
-        self.watched: dict[int, int] = {}
+        self.registered: dict[int, int] = {}  # event mask by descriptor
         self.closed = False
         network.epolls.append(self)
 
     def register(self, fd: int, events: int) -> None:
-        self.watched[fd] = events
+        self.registered[fd] = events
 
     def modify(self, fd: int, events: int) -> None:
-        self.watched[fd] = events
+        self.registered[fd] = events
 
     def unregister(self, fd: int) -> None:
-        self.watched.pop(fd, None)
+        self.registered.pop(fd, None)
 
     def close(self) -> None:
         self.closed = True
         self.network.epolls.remove(self)
 
-    def poll(self, wait: float = -1.0) -> list[tuple[int, int]]:
+    def poll(self, timeout: float = -1.0) -> list[tuple[int, int]]:
+        """Returns (descriptor, events) pairs; `timeout` is in seconds, negative: no limit.
+
+        Raises RuntimeError if it would wait for ever.
+        """
         network = self.network
-        network.now += LOOK
-        until = network.now + int(wait * SECOND) if wait >= 0 else 1 << 62
+        network.now += POLL_NS
+        until = network.now + int(timeout * SECOND) if timeout >= 0 else 1 << 62
         while True:
-            while network.due and network.due[0][0] <= network.now:
-                network.step(network.now)
-            if (shown := self.shown()) or network.now >= until or self.closed:
-                return shown
-            if not network.due and until == 1 << 62:
-                raise RuntimeError("nothing will ever happen here")
-            network.step(until)
-
-    def shown(self) -> list[tuple[int, int]]:
-        found = [(fd, self.network.socks[fd].events() & asked) for fd, asked in self.watched.items()]
-        return [(fd, events) for fd, events in found if events]
+            while network.scheduled and network.scheduled[0][0] <= network.now:
+                network.advance(network.now)
+            if (ready := self.ready_descriptors()) or network.now >= until or self.closed:
+                return ready
+            if not network.scheduled and until == 1 << 62:
+                raise RuntimeError("poll without a timeout would never return: no event is scheduled")
+            network.advance(until)
+
+    def ready_descriptors(self) -> list[tuple[int, int]]:
+        ready = [(fd, self.network.sockets[fd].ready_events() & mask) for fd, mask in self.registered.items()]
+        return [(fd, events) for fd, events in ready if events]
--- a/maddercart/rig/plays.py
+++ b/maddercart/rig/plays.py
@@ -1,4 +1,7 @@
-"""Plays generated deployments: the real sidecar code on the stand-in network, all of it by a seed."""
+"""Generated deployments: the real sidecar code runs on the simulated network through random events.
+
+A play is reproducible: its settings, events and load all follow from its seed.
+"""
 
 import json
 from collections.abc import Callable
@@ -9,233 +12,272 @@
 from maddercart.interface import MILLISECOND, SECOND
 from maddercart.messages.config import Config
 from maddercart.net.loop import Loop
-from maddercart.rig.network import WAY, Address, Network
-from maddercart.rig.referee import Life, Seen, Terms, judge
-from maddercart.rig.world import Asked, Clients, Servers, Service, Told, Upstream
+from maddercart.rig.network import ONE_WAY_DELAY_NS, Address, SimulatedNetwork
+from maddercart.rig.referee import Observations, RuleSettings, SidecarLifetime, check_rules
+from maddercart.rig.world import (
+    ClientQuery,
+    FakeClients,
+    FakeDiscovery,
+    FakeUpstream,
+    FakeUpstreams,
+    ListVersion,
+)
 from maddercart.sidecar.configuration import usable
 from maddercart.sidecar.node import Node
 
-LISTEN, PEERED = ("10.0.0.4", 5000), ("10.0.0.4", 7946)
-SERVICES = (("10.2.0.1", 8500), ("10.2.0.2", 8501))
-SPAN = 16 * SECOND
-EVENTS = (
+LISTEN_ADDRESS, PEER_LISTEN_ADDRESS = ("10.0.0.4", 5000), ("10.0.0.4", 7946)
+DISCOVERY_ADDRESSES = (("10.2.0.1", 8500), ("10.2.0.2", 8501))
+DURATION_NS = 16 * SECOND
+EVENT_KINDS = (
     "drain", "drain", "gone", "replaced", "replaced", "restarted", "silence", "failing", "down", "moved",
     "killed", "term", "added",
 )  # fmt: skip
 
 
 @dataclass
-class Figures:
-    """What came of a play."""
+class PlayResult:
+    """Outcome of one play."""
 
     seed: int
-    words: str  # what was played
-    broken: list[str]
-    asked: int
-    done: int
-    withdrawn: int
+    description: str  # discovery mode, drain grace and events
+    broken: list[str]  # one line for each rule violation
+    asked: int  # queries that clients sent
+    done: int  # queries answered with status 200
+    withdrawn: int  # the sidecar's counter of that name, summed over its processes
 
 
 class Play:
+    """One sidecar with generated settings, between fake clients, upstreams and two discovery services.
+
+    Times are nanoseconds, except `idle_close` (seconds) and `hard_stop_ms`.
+    """
+
     def __init__(self, seed: int) -> None:
-        self.chance = chance = Random(seed)
-        self.seed, self.network = seed, Network()
-        self.push, self.zones = chance.random() < 0.5, chance.choice([1, 2, 3])
-        self.grace = chance.choice([50, 50, 100, 300, 1000, 3000]) * MILLISECOND
-        self.connect = chance.choice([250, 500, 1000]) * MILLISECOND
-        self.idle_close = chance.choice([0.2, 0.2, 30.0])  # soon: most queries need a new one
-        self.late = chance.choice([0.0, 0.5, 0.9])  # the share of connections that come up late, up to 1 s
-        self.peers = chance.random() < 0.5
-        self.ask_within = chance.choice([2, 5, 10]) * SECOND
-        self.window, self.stop = chance.choice([500, 1500]) * MILLISECOND, chance.choice([600, 1500, 3000])
-        self.servers = Servers(self.network, chance, chance.choice([0.0, 0.1, 0.3]))
-        self.history: list[Told] = []
-        self.names = 0
-        self.network.comes_up = self.comes_up
-        self.tell([self.add().line() for _ in range(chance.choice([3, 8, 20]))])
-        self.services = [
-            Service(self.network, at, self.history, chance, n * 1000) for n, at in enumerate(SERVICES)
+        self.rng = rng = Random(seed)
+        self.seed, self.network = seed, SimulatedNetwork()
+        self.push, self.zone_count = rng.random() < 0.5, rng.choice([1, 2, 3])
+        self.drain_grace = rng.choice([50, 50, 100, 300, 1000, 3000]) * MILLISECOND
+        self.connect_timeout = rng.choice([250, 500, 1000]) * MILLISECOND
+        # With a short idle timeout most queries need a new connection.
+        self.idle_close = rng.choice([0.2, 0.2, 30.0])
+        # Share of the connections to upstreams that take up to 1 s to be established.
+        self.slow_connect_share = rng.choice([0.0, 0.5, 0.9])
+        self.may_tell_peers = rng.random() < 0.5
+        self.ask_within = rng.choice([2, 5, 10]) * SECOND
+        self.idempotency_window, self.hard_stop_ms = (
+            rng.choice([500, 1500]) * MILLISECOND,
+            rng.choice([600, 1500, 3000]),
+        )
+        self.upstreams = FakeUpstreams(self.network, rng, rng.choice([0.0, 0.1, 0.3]))
+        self.history: list[ListVersion] = []
+        self.upstream_count = 0
+        self.network.connect_delay = self.connect_delay
+        self.publish([self.add_upstream().list_entry() for _ in range(rng.choice([3, 8, 20]))])
+        self.discoveries = [
+            FakeDiscovery(self.network, address, self.history, rng, n * 1000)
+            for n, address in enumerate(DISCOVERY_ADDRESSES)
         ]
-        self.discovery = 0  # which of them the configuration names
-        self.lives: list[Life] = []
-        self.silent: list[int] = []
-        self.back: list[int] = []
+        self.active_discovery = 0  # index of the discovery service that the configuration names
+        self.lifetimes: list[SidecarLifetime] = []
+        self.silenced_at: list[int] = []
+        self.restored_at: list[int] = []
         self.withdrawn = 0
-        offerings = [(name, self.stop * MILLISECOND) for name in ("look", "post", "once")]
-        self.clients = Clients(self.network, LISTEN, offerings, chance)
+        offerings = [(name, self.hard_stop_ms * MILLISECOND) for name in ("look", "post", "once")]
+        self.clients = FakeClients(self.network, LISTEN_ADDRESS, offerings, rng)
 
-    def comes_up(self, to: Address) -> int:
-        if to in SERVICES or self.chance.random() >= self.late:
-            return WAY
-        return int(self.chance.uniform(0, 1) * SECOND)
+    def connect_delay(self, address: Address) -> int:
+        """Time until a connection is established."""
+        if address in DISCOVERY_ADDRESSES or self.rng.random() >= self.slow_connect_share:
+            return ONE_WAY_DELAY_NS
+        return int(self.rng.uniform(0, 1) * SECOND)
 
-    # -- the list
+    # -- the discovery list
 
-    def add(self, dial: str = "", zone: str = "") -> Upstream:
-        self.names += 1
-        launched = self.network.now // MILLISECOND if self.history else 0
-        dial = dial or f"10.1.{self.names // 200}.{self.names % 200 + 1}:5000"
-        zone = zone or "abc"[self.names % self.zones]
-        return self.servers.start(Upstream(f"s-{self.names}", dial, zone, launched))
+    def add_upstream(self, dial: str = "", zone: str = "") -> FakeUpstream:
+        self.upstream_count += 1
+        launched_ms = self.network.now // MILLISECOND if self.history else 0
+        dial = dial or f"10.1.{self.upstream_count // 200}.{self.upstream_count % 200 + 1}:5000"
+        zone = zone or "abc"[self.upstream_count % self.zone_count]
+        return self.upstreams.start(FakeUpstream(f"s-{self.upstream_count}", dial, zone, launched_ms))
 
-    def tell(self, lines: list[dict[str, Any]]) -> None:
-        self.history.append(Told(len(self.history), self.network.now, lines))
+    def publish(self, entries: list[dict[str, Any]]) -> None:
+        """Adds a version to the list's history, without sending it to watches."""
+        self.history.append(ListVersion(len(self.history), self.network.now, entries))
 
-    def change(self, *upstreams: Upstream) -> None:
-        self.tell([upstream.line() for upstream in upstreams])
-        for service in self.services:
-            if not service.down:
-                service.changed()
+    def publish_upstreams(self, *upstreams: FakeUpstream) -> None:
+        """Publishes the state of these upstreams and sends it to the open watches."""
+        self.publish([upstream.list_entry() for upstream in upstreams])
+        for discovery in self.discoveries:
+            if not discovery.down:
+                discovery.push_latest()
 
-    def some(self) -> list[Upstream]:
-        """A few of those that serve; one always stays."""
-        ready = [one for one in self.servers.all.values() if one.health == "SERVING"]
-        return self.chance.sample(ready, min(len(ready) - 1, self.chance.choice([1, 1, len(ready) // 2])))
+    def some_serving(self) -> list[FakeUpstream]:
+        """A random selection of the serving upstreams, which leaves out at least one."""
+        serving = [upstream for upstream in self.upstreams.by_host.values() if upstream.health == "SERVING"]
+        return self.rng.sample(serving, min(len(serving) - 1, self.rng.choice([1, 1, len(serving) // 2])))
 
-    # -- what happens
+    # -- events
 
-    def event(self, kind: str) -> None:
-        chance, service = self.chance, self.services[self.discovery]
+    def apply_event(self, kind: str) -> None:
+        rng, discovery = self.rng, self.discoveries[self.active_discovery]
         match kind:
             case "drain" | "gone":
-                for one in (some := self.some()):
-                    one.health = "DRAINING" if kind == "drain" else "DELETED"
-                    one.answers = one.answers and chance.random() < 0.7
-                if some:
-                    self.change(*some)
+                for upstream in (selected := self.some_serving()):
+                    upstream.health = "DRAINING" if kind == "drain" else "DELETED"
+                    upstream.responds = upstream.responds and rng.random() < 0.7
+                if selected:
+                    self.publish_upstreams(*selected)
             case "replaced":
-                for one in self.some():
-                    one.health = "DELETED"
-                    same = chance.random() < 0.5  # in its zone: who was not told takes it for the former
-                    self.change(one, self.add(one.dial, one.zone) if same else self.add())
+                for upstream in self.some_serving():
+                    upstream.health = "DELETED"
+                    # A successor at the same address, in the same zone, can't be told from its predecessor
+                    # by a sidecar that was not informed.
+                    same_address = rng.random() < 0.5
+                    self.publish_upstreams(
+                        upstream,
+                        self.add_upstream(upstream.dial, upstream.zone)
+                        if same_address
+                        else self.add_upstream(),
+                    )
             case "restarted":
-                for one in self.some()[:2]:
-                    one.launched = self.network.now // MILLISECOND
-                    self.change(one)
+                for upstream in self.some_serving()[:2]:
+                    upstream.launched_ms = self.network.now // MILLISECOND
+                    self.publish_upstreams(upstream)
             case "added":
-                self.change(self.add())
+                self.publish_upstreams(self.add_upstream())
             case "silence":
-                self.silent.append(self.network.now)
-                service.fall_silent()
-                service.fault = chance.choice(["", "", "503"])
-                self.mend(service, int(chance.uniform(0.1, 3.6) * SECOND))
-                self.network.after(SECOND, lambda: self.event("drain"))
+                self.silenced_at.append(self.network.now)
+                discovery.silence_watches()
+                discovery.fault = rng.choice(["", "", "503"])
+                self.clear_fault_after(discovery, int(rng.uniform(0.1, 3.6) * SECOND))
+                self.network.schedule_after(SECOND, lambda: self.apply_event("drain"))
             case "failing":
-                service.fault = chance.choice(["503", "reset"])
-                self.mend(service, SECOND)
+                discovery.fault = rng.choice(["503", "reset"])
+                self.clear_fault_after(discovery, SECOND)
             case "down":
-                if not service.down:
-                    service.go_down()
-                    self.back.append(self.network.now + 2 * SECOND)
-                    self.network.at(self.back[-1], service.come_back)
+                if not discovery.down:
+                    discovery.stop()
+                    self.restored_at.append(self.network.now + 2 * SECOND)
+                    self.network.schedule_at(self.restored_at[-1], discovery.restart)
             case "moved":
-                if self.discovery == 0 and not service.down and not self.services[1].down:
-                    self.move()
+                if self.active_discovery == 0 and not discovery.down and not self.discoveries[1].down:
+                    self.move_discovery()
             case "killed":
-                self.kill()
+                self.replace_sidecar()
             case "term":
                 self.node.stop()
 
-    def move(self) -> None:
-        former, self.discovery = self.services[0], 1
-        self.lives[-1].moved = self.network.now
+    def move_discovery(self) -> None:
+        """Reloads the configuration with the second discovery service; the first stops 1.5 s later."""
+        former, self.active_discovery = self.discoveries[0], 1
+        self.lifetimes[-1].moved_at = self.network.now
         self.node.renew()
-        self.network.after(SECOND + SECOND // 2, former.go_down)
-        if self.chance.random() < 0.5:  # the new one is overbooked at first
-            new = self.services[1]
-            new.fault = self.chance.choice(["503", "hang"])
-            self.mend(new, self.chance.choice([300, 1200]) * MILLISECOND)
+        self.network.schedule_after(SECOND + SECOND // 2, former.stop)
+        if self.rng.random() < 0.5:  # the new service is overloaded at first
+            successor = self.discoveries[1]
+            successor.fault = self.rng.choice(["503", "hang"])
+            self.clear_fault_after(successor, self.rng.choice([300, 1200]) * MILLISECOND)
 
-    def mend(self, service: Service, after: int) -> None:
-        def well() -> None:
-            service.fault = ""
+    def clear_fault_after(self, discovery: FakeDiscovery, delay: int) -> None:
+        def clear() -> None:
+            discovery.fault = ""
 
-        self.network.after(after, well)
+        self.network.schedule_after(delay, clear)
 
     # -- the sidecar
 
     def configuration(self, known: dict[str, Any]) -> bytes:
-        terms = {"group": "zone", "agreed_time": 0.4}
-        terms |= {"hard_stop": self.stop / 1000, "window": self.window / SECOND}
-        kinds = (("look", "free"), ("post", "guarded"), ("once", "single_shot"))
+        shared_terms = {"group": "zone", "agreed_time": 0.4}
+        shared_terms |= {"hard_stop": self.hard_stop_ms / 1000, "window": self.idempotency_window / SECOND}
+        effects = (("look", "free"), ("post", "guarded"), ("once", "single_shot"))
         settings = {
-            "offerings": [{"name": name, "semantics": effect} | terms for name, effect in kinds],
+            "offerings": [{"name": name, "semantics": effect} | shared_terms for name, effect in effects],
             "limits": {
                 "most_dispatches": 3, "cancel": True, "retry_after": True, "max_retry_after": 1.0,
-                "may_tell": self.peers, "connect_timeout": self.connect / SECOND,
+                "may_tell": self.may_tell_peers, "connect_timeout": self.connect_timeout / SECOND,
                 "idle_close": self.idle_close,
             },
             "rules": {
                 "cold_from": 0.2, "ramp_time": 4.0, "fall_multiple": 3.0, "overload_for": 1.0,
-                "ask_within": self.ask_within / SECOND, "stop_sending_within": self.grace / SECOND,
+                "ask_within": self.ask_within / SECOND, "stop_sending_within": self.drain_grace / SECOND,
             },
             "discovery": "push" if self.push else "ask", "group_size": 1, "kinds": ["m"],
-            "zones": list("abc"[: self.zones]),
+            "zones": list("abc"[: self.zone_count]),
         }  # fmt: skip
         return json.dumps({
-            "name": "n0", "listen": "{}:{}".format(*LISTEN), "seed": "8c1f",
+            "name": "n0", "listen": "{}:{}".format(*LISTEN_ADDRESS), "seed": "8c1f",
             "settings": settings,
-            "known": known, "discovery": "{}:{}".format(*SERVICES[self.discovery]),
-            "peer_listen": "{}:{}".format(*PEERED),
+            "known": known, "discovery": "{}:{}".format(*DISCOVERY_ADDRESSES[self.active_discovery]),
+            "peer_listen": "{}:{}".format(*PEER_LISTEN_ADDRESS),
             "peers_all": "10.3.255.1:7946", "peers": ["10.3.0.1:7946", "10.3.0.2:7946"],
         }).encode()  # fmt: skip
 
     def usable(self, known: dict[str, Any]) -> Config:
         return usable(self.configuration(known))
 
-    def start(self) -> None:
-        if not self.lives or self.chance.random() < 0.5:  # else as it was told at its last start
-            self.known = self.services[0].whole()
+    def start_sidecar(self) -> None:
+        # Otherwise the new process starts with the known list of the previous start.
+        if not self.lifetimes or self.rng.random() < 0.5:
+            self.known = self.discoveries[0].full_list()
         known = self.known
-        self.lives.append(Life(self.network.now, known["seq"]))
+        self.lifetimes.append(SidecarLifetime(self.network.now, known["seq"]))
         loop = Loop(self.network.clock, self.network)
         self.node = Node(self.usable(known), lambda: self.usable(known), loop)
         self.node.start()
 
-    def kill(self) -> None:
+    def replace_sidecar(self) -> None:
+        """Ends the sidecar process with all its sockets and starts another; open queries are excused."""
         self.withdrawn += self.node.decisions.counts["withdrawn"]
-        self.lives[-1].end = self.network.now
-        for asked in self.held():
-            asked.excused = True
-        for sock in list(self.network.socks.values()):
+        self.lifetimes[-1].ended_at = self.network.now
+        for query in self.unanswered():
+            query.excused = True
+        for sock in list(self.network.sockets.values()):
             sock.close()
         self.node.loop.epoll.close()
-        self.start()
-
-    def held(self) -> list[Asked]:
-        return [asked for asked in self.clients.asked if not asked.answers]
-
-    def run(self) -> Figures:
-        chance, network = self.chance, self.network
-        begin, kinds = network.now, [chance.choice(EVENTS) for _ in range(chance.randrange(3, 10))]
-        times = sorted(chance.uniform(1, 10) for _ in kinds)
-        self.start()
-        for kind, at in zip(kinds, times, strict=True):
-            network.at(begin + int(at * SECOND), self.doing(kind))
-        self.clients.go_on(chance.choice([10, 30]) * MILLISECOND, begin + SPAN - 4 * SECOND)
-        while network.now < begin + SPAN:
+        self.start_sidecar()
+
+    def unanswered(self) -> list[ClientQuery]:
+        return [query for query in self.clients.queries if not query.responses]
+
+    def run(self) -> PlayResult:
+        """Runs the play to its end and checks the rules."""
+        rng, network = self.rng, self.network
+        started_at, events = network.now, [rng.choice(EVENT_KINDS) for _ in range(rng.randrange(3, 10))]
+        event_times_s = sorted(rng.uniform(1, 10) for _ in events)
+        self.start_sidecar()
+        for kind, event_time_s in zip(events, event_times_s, strict=True):
+            network.schedule_at(started_at + int(event_time_s * SECOND), self.event_callback(kind))
+        self.clients.send_until(rng.choice([10, 30]) * MILLISECOND, started_at + DURATION_NS - 4 * SECOND)
+        while network.now < started_at + DURATION_NS:
             self.node.loop.turn()
             if self.node.loop.stopped:
-                self.kill()
-        terms = Terms(self.push, self.grace, self.ask_within, self.zones, self.window)
-        seen = Seen(
-            terms,
+                self.replace_sidecar()
+        settings = RuleSettings(
+            self.push, self.drain_grace, self.ask_within, self.zone_count, self.idempotency_window
+        )
+        observed = Observations(
+            settings,
             self.history,
-            self.services,
-            self.lives,
-            self.clients.asked,
-            self.servers.sent,
-            self.silent,
-            self.back,
+            self.discoveries,
+            self.lifetimes,
+            self.clients.queries,
+            self.upstreams.dispatches,
+            self.silenced_at,
+            self.restored_at,
+        )
+        done = sum(status == 200 for query in self.clients.queries for _, status in query.responses)
+        description = (
+            f"{'push' if self.push else 'ask'} grace {self.drain_grace // MILLISECOND} ms, {' '.join(events)}"
         )
-        done = sum(status == 200 for asked in self.clients.asked for _, status in asked.answers)
-        words = f"{'push' if self.push else 'ask'} grace {self.grace // MILLISECOND} ms, {' '.join(kinds)}"
         withdrawn = self.withdrawn + self.node.decisions.counts["withdrawn"]
-        return Figures(self.seed, words, judge(seen), len(self.clients.asked), done, withdrawn)
+        return PlayResult(
+            self.seed, description, check_rules(observed), len(self.clients.queries), done, withdrawn
+        )
 
-    def doing(self, kind: str) -> Callable[[], None]:
-        return lambda: self.event(kind)
+    def event_callback(self, kind: str) -> Callable[[], None]:
+        return lambda: self.apply_event(kind)
 
 
-def play(seed: int) -> Figures:
+def play(seed: int) -> PlayResult:
+    """Generates and runs the play of a seed."""
     return Play(seed).run()
--- a/maddercart/rig/referee.py
+++ b/maddercart/rig/referee.py
@@ -1,145 +1,192 @@
-"""Judges a play on the stand-in network: rules 1 to 3, by what clients, upstreams and discovery noted. It
-shares no code with the sidecar; what counts as told is written out here from the operators' page."""
+"""Checks rules 1 to 3 on what clients, upstreams and discovery recorded during a play.
+
+It shares no code with the sidecar: the moment from which the sidecar counts as informed of a list change is
+derived here independently, from the operators' documentation.
+"""
 
 from dataclasses import dataclass, field
 
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.rig.world import Asked, Sent, Service, Told
+from maddercart.rig.world import ClientQuery, FakeDiscovery, ListVersion, SentDispatch
 
-SLACK = 50 * MILLISECOND  # on sockets
-SILENT_COUNTS, MOVED_COUNTS = 6 * SECOND, 4 * SECOND
-NEVER = 1 << 62
+TIMING_TOLERANCE_NS = 50 * MILLISECOND  # allowance for socket input and output
+# Within these times of a watch's falling silent, or of a move to another discovery service, the sidecar must
+# have obtained the list's changes anew; after them it counts as informed.
+SILENT_WATCH_LIMIT_NS, DISCOVERY_MOVE_LIMIT_NS = 6 * SECOND, 4 * SECOND
+NEVER = 1 << 62  # an instant after any other
 
 
 @dataclass
-class Life:
-    """One process of the sidecar."""
+class SidecarLifetime:
+    """One sidecar process."""
 
-    start: int
-    known: int  # version of the list that it was started with
-    end: int = NEVER
-    moved: int = NEVER  # when SIGHUP named another discovery
+    started_at: int
+    known_version: int  # version of the list in its configuration at the start
+    ended_at: int = NEVER
+    moved_at: int = NEVER  # when a reload named another discovery service
 
 
 @dataclass
-class Terms:
-    push: bool
-    grace: int
+class RuleSettings:
+    """The settings that the rules depend on."""
+
+    push: bool  # whether discovery pushes the list through a watch; otherwise the sidecar polls it
+    drain_grace: int
     ask_within: int
-    zones: int
-    window: int
+    zone_count: int
+    idempotency_window: int
 
 
 @dataclass
-class Seen:
-    """All that was noted in one play."""
-
-    terms: Terms
-    history: list[Told]
-    services: list[Service]
-    lives: list[Life]
-    asked: list[Asked]
-    sent: list[Sent]
-    silent: list[int] = field(default_factory=list)  # when the open watches fell silent
-    back: list[int] = field(default_factory=list)  # when discovery was back
-
-
-def life_at(seen: Seen, at: int) -> Life:
-    return next(life for life in reversed(seen.lives) if life.start <= at)
-
-
-def told_at(seen: Seen, version: int, life: Life, now: int) -> int:
-    """When a change counts as told to a process, as seen at a time: a call that was made since counts."""
-    made, terms = seen.history[version].at, seen.terms
-    if version <= life.known:
-        return life.start
-    writes = [at for service in seen.services for at, upto in service.written if upto >= version]
-    told = min([at for at in writes if life.start <= at < life.end], default=NEVER)
-    silent = max((at for at in seen.silent if life.start <= at <= made), default=None)
-    if silent is not None and not any(silent < at <= made for at in writes):  # and no watch since
-        told = min(told, max(made, silent + SILENT_COUNTS))
-    elif made < life.moved + MOVED_COUNTS and life.moved < NEVER:
-        told = min(told, max(made, life.moved + MOVED_COUNTS))
-    if terms.push:
-        if any(at <= made < at + SILENT_COUNTS for at in seen.silent):  # one clock for silence
-            return told
-        has = min((at for at in seen.back if at >= made), default=made) if down_at(seen, made) else made
-        moving = life.moved <= has < life.moved + MOVED_COUNTS
-        return min(told, max(life.start, life.moved + MOVED_COUNTS if moving else has))
-    calls = [call for service in seen.services for call in service.calls if life.start <= call[0] <= now]
-    last, answered = max(calls, default=(life.start, True))
-    held = last + terms.ask_within * (1 if answered else 4)
-    back = max((at for at in seen.back if at >= made), default=0)
-    return min(told, max(made + terms.ask_within, held, back + terms.ask_within))
-
-
-def down_at(seen: Seen, at: int) -> bool:
-    return any(at < back < at + 3 * SECOND for back in seen.back)
-
-
-def drains(seen: Seen) -> list[str]:
-    """Rule 3: nothing new later than the grace after being told."""
-    broken = []
-    for sent in seen.sent:
-        life = life_at(seen, sent.at)
-        lines = [
-            (told_of.version, told_of.at, line["health"])
-            for told_of in seen.history for line in told_of.lines if line["host"] == sent.host
+class Observations:
+    """Everything recorded during one play."""
+
+    settings: RuleSettings
+    history: list[ListVersion]
+    discoveries: list[FakeDiscovery]
+    lifetimes: list[SidecarLifetime]
+    queries: list[ClientQuery]
+    dispatches: list[SentDispatch]
+    silenced_at: list[int] = field(default_factory=list)  # when open watches fell silent
+    restored_at: list[int] = field(default_factory=list)  # when discovery was available again
+
+
+def lifetime_at(observed: Observations, at: int) -> SidecarLifetime:
+    """The sidecar process that was running at an instant."""
+    return next(lifetime for lifetime in reversed(observed.lifetimes) if lifetime.started_at <= at)
+
+
+def informed_at(observed: Observations, version: int, lifetime: SidecarLifetime, now: int) -> int:
+    """The instant from which a sidecar process counts as informed of a version of the list.
+
+    It is judged as of `now`: calls to discovery up to `now` are taken into account. `NEVER` if it doesn't
+    count as informed.
+    """
+    published_at, settings = observed.history[version].published_at, observed.settings
+    if version <= lifetime.known_version:
+        return lifetime.started_at
+    writes = [
+        at
+        for discovery in observed.discoveries
+        for at, written_version in discovery.writes
+        if written_version >= version
+    ]
+    informed = min([at for at in writes if lifetime.started_at <= at < lifetime.ended_at], default=NEVER)
+    silenced = max(
+        (at for at in observed.silenced_at if lifetime.started_at <= at <= published_at), default=None
+    )
+    # The watch fell silent before the change and no other has been written to since.
+    if silenced is not None and not any(silenced < at <= published_at for at in writes):
+        informed = min(informed, max(published_at, silenced + SILENT_WATCH_LIMIT_NS))
+    elif published_at < lifetime.moved_at + DISCOVERY_MOVE_LIMIT_NS and lifetime.moved_at < NEVER:
+        informed = min(informed, max(published_at, lifetime.moved_at + DISCOVERY_MOVE_LIMIT_NS))
+    if settings.push:
+        # One time limit covers a silence that isn't detected yet, and it is applied above.
+        if any(at <= published_at < at + SILENT_WATCH_LIMIT_NS for at in observed.silenced_at):
+            return informed
+        available_at = (
+            min((at for at in observed.restored_at if at >= published_at), default=published_at)
+            if discovery_down_at(observed, published_at)
+            else published_at
+        )
+        moving = lifetime.moved_at <= available_at < lifetime.moved_at + DISCOVERY_MOVE_LIMIT_NS
+        return min(
+            informed,
+            max(lifetime.started_at, lifetime.moved_at + DISCOVERY_MOVE_LIMIT_NS if moving else available_at),
+        )
+    calls = [
+        call
+        for discovery in observed.discoveries
+        for call in discovery.calls
+        if lifetime.started_at <= call[0] <= now
+    ]
+    last_call, answered = max(calls, default=(lifetime.started_at, True))
+    # After an unanswered call the sidecar has four times as long.
+    call_limit = last_call + settings.ask_within * (1 if answered else 4)
+    restored = max((at for at in observed.restored_at if at >= published_at), default=0)
+    return min(informed, max(published_at + settings.ask_within, call_limit, restored + settings.ask_within))
+
+
+def discovery_down_at(observed: Observations, at: int) -> bool:
+    """Whether discovery was back within 3 s after this instant, and so counts as unavailable at it."""
+    return any(at < restored < at + 3 * SECOND for restored in observed.restored_at)
+
+
+def check_drains(observed: Observations) -> list[str]:
+    """Rule 3: no new dispatch to a withdrawn upstream later than the drain grace after being informed."""
+    violations = []
+    for dispatch in observed.dispatches:
+        lifetime = lifetime_at(observed, dispatch.sent_at)
+        states = [  # (version, published at, health)
+            (update.version, update.published_at, entry["health"])
+            for update in observed.history for entry in update.entries if entry["host"] == dispatch.host
         ]  # fmt: skip
-        serving = [version for version, at, said in lines if said == "SERVING" and at <= sent.at]
-        opened = max(serving, default=-1)
-        closed = [version for version, _, health in lines if health != "SERVING" and version > opened]
-        for version in closed[:1]:
-            late = sent.at - told_at(seen, version, life, sent.at)
-            if late > seen.terms.grace + SLACK:
-                after = f"{late // MILLISECOND} ms after it was told to leave"
-                broken.append(f"rule 3: {sent.trace} to {sent.host} {after}")
-    return broken
-
-
-def answers(seen: Seen) -> list[str]:
-    """Rule 1: one final answer before the hard stop, nothing sent after it."""
-    broken = []
-    last = {sent.trace: sent.at for sent in seen.sent}
-    for asked in seen.asked:
-        if asked.excused:
+        serving = [version for version, at, state in states if state == "SERVING" and at <= dispatch.sent_at]
+        last_serving = max(serving, default=-1)
+        withdrawn = [
+            version for version, _, health in states if health != "SERVING" and version > last_serving
+        ]
+        for version in withdrawn[:1]:
+            lateness = dispatch.sent_at - informed_at(observed, version, lifetime, dispatch.sent_at)
+            if lateness > observed.settings.drain_grace + TIMING_TOLERANCE_NS:
+                detail = f"{lateness // MILLISECOND} ms after it was told to leave"
+                violations.append(f"rule 3: {dispatch.trace_id} to {dispatch.host} {detail}")
+    return violations
+
+
+def check_answers(observed: Observations) -> list[str]:
+    """Rule 1: each query gets one final answer before its hard stop, and no dispatch after the answer."""
+    violations = []
+    last_sent_at = {dispatch.trace_id: dispatch.sent_at for dispatch in observed.dispatches}
+    for query in observed.queries:
+        if query.excused:
             continue
-        if len(asked.answers) != 1:
-            broken.append(f"rule 1: {asked.trace} got {len(asked.answers)} answers")
+        if len(query.responses) != 1:
+            violations.append(f"rule 1: {query.trace_id} got {len(query.responses)} answers")
             continue
-        at, status = asked.answers[0]
-        if at > asked.stop + SLACK:
-            broken.append(f"rule 1: {asked.trace} was answered {(at - asked.stop) // MILLISECOND} ms late")
+        at, status = query.responses[0]
+        if at > query.hard_stop_at + TIMING_TOLERANCE_NS:
+            violations.append(
+                f"rule 1: {query.trace_id} was answered {(at - query.hard_stop_at) // MILLISECOND} ms late"
+            )
         if status not in (200, 502, 503):
-            broken.append(f"rule 1: {asked.trace} was answered {status}")
-        if last.get(asked.trace, 0) > at:
-            broken.append(f"rule 1: {asked.trace} was sent on after its answer")
-    return broken
-
-
-def effects(seen: Seen) -> list[str]:
-    """Rule 2: no effect twice. Offerings: look redoable, post labelled within its zone, once irreversible."""
-    broken = []
-    runs: dict[str, list[Sent]] = {}
-    for sent in seen.sent:
-        if sent.ran:
-            runs.setdefault(sent.trace, []).append(sent)
-    for asked in seen.asked:
-        ran = runs.get(asked.trace, [])
-        bounced = any(status == 503 for _, status in asked.answers)
-        if asked.offering == "look" or not ran:
+            violations.append(f"rule 1: {query.trace_id} was answered {status}")
+        if last_sent_at.get(query.trace_id, 0) > at:
+            violations.append(f"rule 1: {query.trace_id} was sent on after its answer")
+    return violations
+
+
+def check_effects(observed: Observations) -> list[str]:
+    """Rule 2: no query takes effect twice.
+
+    The offering `look` is redoable, `post` is labelled and confined to one zone, `once` is irreversible.
+    """
+    violations = []
+    executed_by_trace: dict[str, list[SentDispatch]] = {}
+    for dispatch in observed.dispatches:
+        if dispatch.executed:
+            executed_by_trace.setdefault(dispatch.trace_id, []).append(dispatch)
+    for query in observed.queries:
+        executed = executed_by_trace.get(query.trace_id, [])
+        bounced = any(status == 503 for _, status in query.responses)
+        if query.offering == "look" or not executed:
             continue
         if bounced:
-            broken.append(f"rule 2: {asked.trace} was bounced and has run")
-        if asked.offering == "once" and len(ran) > 1:
-            broken.append(f"rule 2: {asked.trace} ran {len(ran)} times")
-        if asked.offering == "post":
-            if len({sent.zone for sent in ran}) > 1:
-                broken.append(f"rule 2: {asked.trace} ran in several zones")
-            if max(sent.at for sent in ran) - min(sent.at for sent in ran) > seen.terms.window + SLACK:
-                broken.append(f"rule 2: {asked.trace} ran again after its window")
-    return broken
-
-
-def judge(seen: Seen) -> list[str]:
-    return answers(seen) + effects(seen) + drains(seen)
+            violations.append(f"rule 2: {query.trace_id} was bounced and has run")
+        if query.offering == "once" and len(executed) > 1:
+            violations.append(f"rule 2: {query.trace_id} ran {len(executed)} times")
+        if query.offering == "post":
+            if len({dispatch.zone for dispatch in executed}) > 1:
+                violations.append(f"rule 2: {query.trace_id} ran in several zones")
+            if (
+                max(dispatch.sent_at for dispatch in executed)
+                - min(dispatch.sent_at for dispatch in executed)
+                > observed.settings.idempotency_window + TIMING_TOLERANCE_NS
+            ):
+                violations.append(f"rule 2: {query.trace_id} ran again after its window")
+    return violations
+
+
+def check_rules(observed: Observations) -> list[str]:
+    """One line for each violation; empty if all rules hold."""
+    return check_answers(observed) + check_effects(observed) + check_drains(observed)
