--- a/maddercart/rig/__init__.py
+++ b/maddercart/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for servers, a load tool and a demonstration, all on loopback."""
+"""Test equipment: stand-ins for servers, a load generator, a demonstration and generated plays."""
--- a/maddercart/rig/demo.py
+++ b/maddercart/rig/demo.py
@@ -1,5 +1,8 @@
-"""One command that shows the main job: stand-ins in two zones, a gateway before them, load on it; one zone
-falls silent and comes back. What a client saw, second by second, and what the gateway did about it."""
+"""A demonstration of failover: stand-ins in two zones, a gateway in front of them, and load on it.
+
+One zone falls silent and recovers; the output shows, second by second, what clients saw and how the gateway
+reacted.
+"""
 
 import subprocess
 import sys
@@ -47,20 +50,21 @@
 """
 
 
-def wait_for(port: int, path: str, within: float = 10.0) -> None:
-    end = time.monotonic() + within
+def wait_for(port: int, path: str, timeout: float = 10.0) -> None:
+    """Waits until a loopback port answers with status 200. `timeout` is in seconds; raises TimeoutError."""
+    deadline = time.monotonic() + timeout
     while True:
         try:
-            if ask(port, path) == 200:
+            if get_status(port, path) == 200:
                 return
         except OSError:
             pass
-        if time.monotonic() > end:
+        if time.monotonic() > deadline:
             raise TimeoutError(f"127.0.0.1:{port}{path} does not answer")
         time.sleep(0.05)
 
 
-def ask(port: int, path: str) -> int:
+def get_status(port: int, path: str) -> int:
     connection = HTTPConnection("127.0.0.1", port, timeout=5)
     try:
         connection.request("GET", path)
@@ -70,120 +74,136 @@
 
 
 @contextmanager
-def process(*words: str, told: Callable[[str], None] | None = None) -> Iterator[subprocess.Popen[str]]:
-    """One of ours; its log lines go to `told`. It ends with the block."""
-    run = subprocess.Popen([sys.executable, "-m", "maddercart", *words], stderr=subprocess.PIPE,
+def process(*arguments: str, told: Callable[[str], None] | None = None) -> Iterator[subprocess.Popen[str]]:
+    """Runs a maddercart command in a process, which is terminated at the end of the block.
+
+    `told` is called with each line of its log, in a thread of its own.
+    """
+    child = subprocess.Popen([sys.executable, "-m", "maddercart", *arguments], stderr=subprocess.PIPE,
                            stdout=subprocess.DEVNULL, text=True)  # fmt: skip
 
     def read() -> None:
-        for line in run.stderr or ():
+        for line in child.stderr or ():
             if told is not None:
                 told(line.rstrip())
 
     reader = threading.Thread(target=read, daemon=True)
     reader.start()
     try:
-        yield run
+        yield child
     finally:
-        run.terminate()
+        child.terminate()
         try:
-            run.wait(timeout=10)
+            child.wait(timeout=10)
         except subprocess.TimeoutExpired:
-            run.kill()
-            run.wait()
+            child.kill()
+            child.wait()
 
 
 def ports(count: int) -> list[int]:
-    """Free ones, each seen to be free by opening it."""
+    """Free loopback ports, each found by opening it."""
     import socket
 
-    socks = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    found = [sock.getsockname()[1] for sock in socks]
-    for sock in socks:
+    sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    found = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
         sock.close()
     return found
 
 
 def play(
-    rate: float = 120.0, seconds: float = 40.0, lost: float = 10.0, back: float = 25.0, servers: int = 3,
-    say: Callable[[str], None] = print,
+    rate: float = 120.0, seconds: float = 40.0, silent_at: float = 10.0, restored_at: float = 25.0,
+    servers_per_zone: int = 3, show_line: Callable[[str], None] = print,
 ) -> tuple[Outcome, list[tuple[float, str]]]:  # fmt: skip
-    """Zone a is silent from `lost` to `back`. Answers what the client saw and what the gateway logged."""
-    port, *others = ports(1 + 2 * servers)
-    near, far = others[:servers], others[servers:]
+    """Runs the demonstration; zone a is silent from `silent_at` to `restored_at`, in seconds from the start.
+
+    Returns the load's results and the events, as (seconds from the start, text).
+    """
+    gateway_port, *server_ports = ports(1 + 2 * servers_per_zone)
+    zone_a_ports, zone_b_ports = server_ports[:servers_per_zone], server_ports[servers_per_zone:]
     clock = Clock()
-    began = [0]
-    notes: list[tuple[float, str]] = []
-
-    def told(line: str) -> None:
-        words = line.partition(" msg=")[2] or line
-        if any(word in words for word in (" to ", "ejected", "stood still")):
-            notes.append(((clock() - began[0]) / SECOND, words.strip('"')))
-
-    with tempfile.TemporaryDirectory() as folder:
-        zones = (("a", near), ("b", far))
-        placed = [(zone, n, at) for zone, those in zones for n, at in enumerate(those)]
-        lines = "".join(SERVER.format(zone=zone, n=n, port=at) for zone, n, at in placed)
-        file = Path(folder) / "gateway.toml"
-        file.write_text(GATEWAY.format(port=port, servers=lines))
-        addresses = [f"127.0.0.1:{at}" for at in others]
+    started_at = [0]
+    events: list[tuple[float, str]] = []
+
+    def record_line(line: str) -> None:
+        # Keeps the gateway's log lines of state changes, ejections and a stalled event loop.
+        message = line.partition(" msg=")[2] or line
+        if any(phrase in message for phrase in (" to ", "ejected", "stood still")):
+            events.append(((clock() - started_at[0]) / SECOND, message.strip('"')))
+
+    with tempfile.TemporaryDirectory() as directory:
+        ports_by_zone = (("a", zone_a_ports), ("b", zone_b_ports))
+        servers = [(zone, n, port) for zone, zone_ports in ports_by_zone for n, port in enumerate(zone_ports)]
+        server_tables = "".join(SERVER.format(zone=zone, n=n, port=port) for zone, n, port in servers)
+        config_file = Path(directory) / "gateway.toml"
+        config_file.write_text(GATEWAY.format(port=gateway_port, servers=server_tables))
+        addresses = [f"127.0.0.1:{port}" for port in server_ports]
         with (
             process("standin", *addresses, "--work-ms", "12"),
-            process("gateway", "serve", str(file), told=told),
+            process("gateway", "serve", str(config_file), told=record_line),
         ):
-            for at in others:
-                wait_for(at, "/-/counts")
-            wait_for(port, "/-/ready")
-            say("second   asked  done  bounced aborted lost   p50 ms  p99 ms   gateway")
-            outcome = load(port, rate, seconds, lost, back, near, clock, began, notes, say)
-    return outcome, notes
-
-
-def load(
-    port: int, rate: float, seconds: float, lost: float, back: float, near: list[int], clock: Clock,
-    began: list[int], notes: list[tuple[float, str]], say: Callable[[str], None],
+            for port in server_ports:
+                wait_for(port, "/-/counts")
+            wait_for(gateway_port, "/-/ready")
+            show_line("second   asked  done  bounced aborted lost   p50 ms  p99 ms   gateway")
+            outcome = run_load(
+                gateway_port, rate, seconds, silent_at, restored_at,
+                zone_a_ports, clock, started_at, events, show_line,
+            )  # fmt: skip
+    return outcome, events
+
+
+def run_load(
+    port: int, rate: float, seconds: float, silent_at: float, restored_at: float, zone_a_ports: list[int],
+    clock: Clock, started_at: list[int], events: list[tuple[float, str]], show_line: Callable[[str], None],
 ) -> Outcome:  # fmt: skip
+    """Runs the load and the faults of zone a, and shows a line for each second.
+
+    `started_at` holds one instant, which is set here; `events` are (seconds from the start, text).
+    """
     loop = Loop(clock)
-    run = Load(loop, clock, ("127.0.0.1", port), Asked(patience=2.0))
-    run.start(Shape(rate=rate, seconds=seconds).times())
-    began[0] = run.began
+    load = Load(loop, clock, ("127.0.0.1", port), Asked(patience=2.0))
+    load.start(Shape(rate=rate, seconds=seconds).times())
+    started_at[0] = load.started_at
 
-    def tell(kind: str, words: str) -> Callable[[], None]:
-        def now() -> None:
-            notes.append(((clock() - began[0]) / SECOND, words))
+    def fault_callback(kind: str, message: str) -> Callable[[], None]:
+        def inject() -> None:
+            events.append(((clock() - started_at[0]) / SECOND, message))
             threading.Thread(
-                target=lambda: [ask(at, f"/-/fault?kind={kind}") for at in near], daemon=True
+                target=lambda: [
+                    get_status(server_port, f"/-/fault?kind={kind}") for server_port in zone_a_ports
+                ],
+                daemon=True,
             ).start()
 
-        return now
+        return inject
 
-    loop.at(run.began + int(lost * SECOND), tell("silent", "-- zone a falls silent --"))
-    loop.at(run.began + int(back * SECOND), tell("up", "-- zone a is back --"))
-    shown, until = 0, clock() + int((seconds + 10) * SECOND)
-    while not run.over() and clock() < until:
+    loop.at(load.started_at + int(silent_at * SECOND), fault_callback("silent", "-- zone a falls silent --"))
+    loop.at(load.started_at + int(restored_at * SECOND), fault_callback("up", "-- zone a is back --"))
+    second, deadline = 0, clock() + int((seconds + 10) * SECOND)
+    while not load.over() and clock() < deadline:
         loop.at(clock() + SECOND // 50, lambda: None)
         loop.turn()
-        while (
-            clock() - run.began > (shown + 3) * SECOND and shown < seconds
-        ):  # all that was due then has ended
-            say(line(run.outcome, shown, notes))
-            shown += 1
-    while shown < seconds:
-        say(line(run.outcome, shown, notes))
-        shown += 1
-    run.close()
+        # Three seconds later every request that was due in this second has ended.
+        while clock() - load.started_at > (second + 3) * SECOND and second < seconds:
+            show_line(format_line(load.outcome, second, events))
+            second += 1
+    while second < seconds:
+        show_line(format_line(load.outcome, second, events))
+        second += 1
+    load.close()
     loop.epoll.close()
-    return run.outcome
-
-
-def line(outcome: Outcome, second: int, notes: list[tuple[float, str]]) -> str:
-    seen = outcome.seconds.get(second)
-    beside = "; ".join(dict.fromkeys(text for at, text in notes if int(at) == second))
-    if seen is None:
-        return f"{second:6}       0" + " " * 48 + beside
-    times = sorted(seen.times) or [0.0]
-    p50 = times[len(times) // 2]
-    p99 = quantiles(times, n=100)[98] if len(times) > 1 else times[0]
-    gone = seen.fates["lost"] + seen.fates["late"]
-    return (f"{second:6} {seen.fates.total():7} {seen.fates['done']:5} {seen.fates['bounced']:8} "
-            f"{seen.fates['aborted']:7} {gone:4} {p50:8.1f} {p99:7.1f}   {beside}").rstrip()  # fmt: skip
+    return load.outcome
+
+
+def format_line(outcome: Outcome, second: int, events: list[tuple[float, str]]) -> str:
+    stats = outcome.seconds.get(second)
+    remarks = "; ".join(dict.fromkeys(text for time, text in events if int(time) == second))
+    if stats is None:
+        return f"{second:6}       0" + " " * 48 + remarks
+    latencies = sorted(stats.times) or [0.0]
+    p50 = latencies[len(latencies) // 2]
+    p99 = quantiles(latencies, n=100)[98] if len(latencies) > 1 else latencies[0]
+    lost = stats.fates["lost"] + stats.fates["late"]
+    return (f"{second:6} {stats.fates.total():7} {stats.fates['done']:5} {stats.fates['bounced']:8} "
+            f"{stats.fates['aborted']:7} {lost:4} {p50:8.1f} {p99:7.1f}   {remarks}").rstrip()  # fmt: skip
--- a/maddercart/rig/load.py
+++ b/maddercart/rig/load.py
@@ -1,5 +1,8 @@
-"""An open-loop load: requests go out when they are due, whatever became of those before; times count from
-when a request was due. Counts answers for each request id."""
+"""An open-loop load generator.
+
+Requests are sent when they are due, whatever became of earlier ones, and latencies count from when a request
+was due. The result holds the fate of each request id.
+"""
 
 import socket
 from collections import Counter, deque
@@ -18,8 +21,11 @@
 FATES = ("done", "refused", "bounced", "aborted", "lost", "late")
 
 
-def fate(status: int) -> str:
-    """Of an answer: 503 and 429 promise that a retry is harmless, 502 nothing; other 4xx refuse it."""
+def classify_status(status: int) -> str:
+    """The fate that an answer's status stands for.
+
+    503 and 429 promise that a retry is harmless, other 5xx promise nothing, other 4xx refuse the request.
+    """
     if status in (429, 503):
         return "bounced"
     if status >= 500:
@@ -29,205 +35,227 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """Requests a second over a span in seconds: constant, a ramp up to `to`, or bursts: twice a second the
-    half second's requests come within a twentieth of it."""
+    """The arrival rate over time; `rate` and `end_rate` are requests per second.
+
+    `kind` is `constant`, `ramp` (linearly from `rate` to `end_rate`) or `burst`: the requests of each half
+    second come within its first twentieth.
+    """
 
     kind: str = "constant"
     rate: float = 100.0
-    to: float = 0.0
+    end_rate: float = 0.0
     seconds: float = 10.0
     seed: int = 1
 
     def times(self) -> list[int]:
-        """When each is due, in nanoseconds from the start; Poisson."""
-        chance, at, made = Random(self.seed), 0.0, []
-        most = max(self.rate, self.to if self.kind == "ramp" else 0.0)
-        while most > 0:
-            at += chance.expovariate(most)
-            if at >= self.seconds:
+        """Due times of a Poisson process, in nanoseconds from the start."""
+        rng, arrival_s, due_times = Random(self.seed), 0.0, []
+        peak_rate = max(self.rate, self.end_rate if self.kind == "ramp" else 0.0)
+        while peak_rate > 0:
+            arrival_s += rng.expovariate(peak_rate)
+            if arrival_s >= self.seconds:
                 break
-            rate = self.rate + (self.to - self.rate) * at / self.seconds if self.kind == "ramp" else most
-            if chance.random() * most < rate:
-                due = at
+            rate = (
+                self.rate + (self.end_rate - self.rate) * arrival_s / self.seconds
+                if self.kind == "ramp"
+                else peak_rate
+            )
+            if rng.random() * peak_rate < rate:
+                due_s = arrival_s
                 if self.kind == "burst":
-                    half = int(at * 2) / 2
-                    due = half + (at - half) / 20
-                made.append(int(due * SECOND))
-        return made
+                    half_second = int(arrival_s * 2) / 2
+                    due_s = half_second + (arrival_s - half_second) / 20
+                due_times.append(int(due_s * SECOND))
+        return due_times
 
 
 @dataclass(frozen=True)
 class Asked:
-    """What each request is; `{n}` in the path is its number, in a header its id."""
+    """What each request looks like; `{n}` stands for its number in the path and for its id in a header."""
 
     method: str = "GET"
     path: str = "/accounts/{n}"
     host: str = "load"
     headers: tuple[tuple[str, str], ...] = ()
-    body: int = 0
-    patience: float = 5.0
-    marked: bool = False  # each has an Idempotency-Key of its own
-    source: str = ""  # the client's address; empty: as the system has it
+    body: int = 0  # bytes
+    patience: float = 5.0  # timeout in seconds, from when the request is due
+    marked: bool = False  # each request carries its own Idempotency-Key
+    source: str = ""  # the client's IP address; empty: chosen by the system
 
 
 @dataclass
-class Second:
-    """What became of those that were due in one second."""
+class SecondStats:
+    """Results of the requests that were due in one second."""
 
     fates: Counter[str] = field(default_factory=Counter)
-    times: list[float] = field(default_factory=list)  # milliseconds, of those done
+    times: list[float] = field(default_factory=list)  # latencies in milliseconds of the requests done
 
 
 @dataclass
 class Outcome:
-    """Of a whole load."""
+    """Results of a whole load."""
 
     fates: Counter[str] = field(default_factory=Counter)
     statuses: Counter[int] = field(default_factory=Counter)
-    seconds: dict[int, Second] = field(default_factory=dict)
+    seconds: dict[int, SecondStats] = field(default_factory=dict)  # by second since the start
+    # Latencies in microseconds, up to one hour.
     histogram: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 3600 * 10**6, 3))
-    behind_ms: float = 0.0  # the most that one went out late
-    answers: dict[str, str] = field(default_factory=dict)  # by request id: its fate
-    come_back: list[float] = field(default_factory=list)
+    behind_ms: float = 0.0  # the longest delay of a request's start after its due time
+    answers: dict[str, str] = field(default_factory=dict)  # fate by request id
+    come_back: list[float] = field(default_factory=list)  # values of Retry-After, in seconds
 
     def table(self) -> dict[str, float]:
-        whole = sum(self.fates.values())
-        times = {f"p{part:g}_ms".replace(".", "_"): self.histogram.get_value_at_percentile(part) / 1e3
-                 for part in (50, 95, 99, 99.9)}  # fmt: skip
+        """The figures of the report, by name: counts of requests, and times in milliseconds."""
+        total = sum(self.fates.values())
+        latencies = {
+            f"p{percentile:g}_ms".replace(".", "_"): self.histogram.get_value_at_percentile(percentile) / 1e3
+            for percentile in (50, 95, 99, 99.9)
+        }
         return {
-            "asked": whole,
+            "asked": total,
             **{name: self.fates[name] for name in FATES},
-            **times,
+            **latencies,
             "behind_ms": self.behind_ms,
         }
 
 
 class Load:
-    """`prefix` begins each request's id; `most` connections at once, beyond which a request waits (and its
-    time counts)."""
+    """Sends requests through an event loop.
+
+    `id_prefix` begins each request's id. A request waits, and its latency counts, while `max_connections` are
+    in use. `on_end` is called with the due second, the fate and the latency in milliseconds.
+    """
 
     def __init__(
-        self, loop: Loop, clock: Clock, to: tuple[str, int], asked: Asked, prefix: str = "r", most: int = 512,
-        ended: Callable[[int, str, float], None] = lambda second, how, ms: None,
+        self, loop: Loop, clock: Clock, address: tuple[str, int], template: Asked, id_prefix: str = "r",
+        max_connections: int = 512, on_end: Callable[[int, str, float], None] = lambda second, fate, ms: None,
     ) -> None:  # fmt: skip
-        self.loop, self.clock, self.to, self.asked, self.prefix = loop, clock, to, asked, prefix
-        self.most, self.ended = most, ended
-        self.idle: deque[tuple[socket.socket, UpstreamSide]] = deque()
-        self.open = 0
+        self.loop, self.clock, self.address, self.template, self.id_prefix = (
+            loop, clock, address, template, id_prefix,
+        )  # fmt: skip
+        self.max_connections, self.on_end = max_connections, on_end
+        self.idle_connections: deque[tuple[socket.socket, UpstreamSide]] = deque()
+        self.open_connections = 0
         self.outcome = Outcome()
-        self.left = 0
+        self.unfinished = 0
         self.waiting: deque[int] = deque()
 
     def start(self, times: list[int]) -> None:
-        self.began, self.left = self.clock(), len(times)
-        self.loop.spawn(self.pace(times))
-
-    def pace(self, times: list[int]) -> Coroutine:
-        for n, due in enumerate(times):
-            if self.clock() < self.began + due:
-                yield Wait(until=self.began + due)
-            late = (self.clock() - self.began - due) / MILLISECOND
-            self.outcome.behind_ms = max(self.outcome.behind_ms, late)
-            self.loop.spawn(self.one(n, self.began + due))
+        """Starts sending; `times` are due times in nanoseconds from now."""
+        self.started_at, self.unfinished = self.clock(), len(times)
+        self.loop.spawn(self.send_on_schedule(times))
+
+    def send_on_schedule(self, times: list[int]) -> Coroutine:
+        for index, due in enumerate(times):
+            if self.clock() < self.started_at + due:
+                yield Wait(until=self.started_at + due)
+            delay_ms = (self.clock() - self.started_at - due) / MILLISECOND
+            self.outcome.behind_ms = max(self.outcome.behind_ms, delay_ms)
+            self.loop.spawn(self.run_request(index, self.started_at + due))
 
     def over(self) -> bool:
-        return self.left == 0
+        """Whether every request has ended."""
+        return self.unfinished == 0
 
-    def one(self, n: int, due: int) -> Coroutine:
-        name, until = f"{self.prefix}-{n}", due + int(self.asked.patience * SECOND)
-        how = "lost"
+    def run_request(self, index: int, due: int) -> Coroutine:
+        """Sends one request and records its fate."""
+        request_id, deadline = f"{self.id_prefix}-{index}", due + int(self.template.patience * SECOND)
+        fate = "lost"
         try:
-            how = yield from self.exchange(n, name, until)
+            fate = yield from self.exchange(index, request_id, deadline)
         except (OSError, Malformed):
-            how = "lost"
+            fate = "lost"
         finally:
-            took = (self.clock() - due) / MILLISECOND
-            second = self.outcome.seconds.setdefault((due - self.began) // SECOND, Second())
-            second.fates[how] += 1
-            self.outcome.fates[how] += 1
-            self.outcome.answers[name] = how
-            if how == "done":
-                second.times.append(took)
-                self.outcome.histogram.record_value(max(1, int(took * 1000)))
-            self.left -= 1
-            self.ended((due - self.began) // SECOND, how, took)
-
-    def exchange(self, n: int, name: str, until: int) -> Generator[Wait, int, str]:
-        while self.open >= self.most and not self.idle:
+            latency_ms = (self.clock() - due) / MILLISECOND
+            stats = self.outcome.seconds.setdefault((due - self.started_at) // SECOND, SecondStats())
+            stats.fates[fate] += 1
+            self.outcome.fates[fate] += 1
+            self.outcome.answers[request_id] = fate
+            if fate == "done":
+                stats.times.append(latency_ms)
+                self.outcome.histogram.record_value(max(1, int(latency_ms * 1000)))
+            self.unfinished -= 1
+            self.on_end((due - self.started_at) // SECOND, fate, latency_ms)
+
+    def exchange(self, index: int, request_id: str, deadline: int) -> Generator[Wait, int, str]:
+        """Sends one request and returns its fate; raises OSError or Malformed if the connection fails."""
+        while self.open_connections >= self.max_connections and not self.idle_connections:
             yield Wait(until=self.clock() + MILLISECOND)
-            if self.clock() >= until:
+            if self.clock() >= deadline:
                 return "late"
-        if self.idle:
-            sock, side = self.idle.pop()
+        if self.idle_connections:
+            sock, side = self.idle_connections.pop()
         else:
             sock, side = (
                 socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK),
                 UpstreamSide(1 << 24),
             )
-            self.open += 1
-            if self.asked.source:
-                sock.bind((self.asked.source, 0))
+            self.open_connections += 1
+            if self.template.source:
+                sock.bind((self.template.source, 0))
             try:
-                up = yield from connect(self.loop, sock, self.to, until)
+                connected = yield from connect(self.loop, sock, self.address, deadline)
             except OSError:
-                up = False
-            if not up:
-                return self.drop(sock, "lost")
-        keep = False
+                connected = False
+            if not connected:
+                return self.close_connection(sock, "lost")
+        reusable = False
         try:
-            headers = [(b"Host", self.asked.host.encode()), (b"X-Request-Id", name.encode())]
-            for key, value in self.asked.headers:
-                headers.append((key.encode(), value.replace("{n}", name).encode()))
-            if self.asked.marked:
-                headers.append((b"Idempotency-Key", name.encode()))
-            body = b"x" * self.asked.body
-            if body or self.asked.method != "GET":
+            headers = [(b"Host", self.template.host.encode()), (b"X-Request-Id", request_id.encode())]
+            for name, value in self.template.headers:
+                headers.append((name.encode(), value.replace("{n}", request_id).encode()))
+            if self.template.marked:
+                headers.append((b"Idempotency-Key", request_id.encode()))
+            body = b"x" * self.template.body
+            if body or self.template.method != "GET":
                 headers.append((b"Content-Length", b"%d" % len(body)))
-            target = self.asked.path.replace("{n}", str(n)).encode()
-            data = side.request(self.asked.method.encode(), target, headers, body)
-            if not (yield from write(sock, data, until)):
+            target = self.template.path.replace("{n}", str(index)).encode()
+            data = side.request(self.template.method.encode(), target, headers, body)
+            if not (yield from write(sock, data, deadline)):
                 return "late"
             while True:
-                data_or_none = yield from read(sock, until)
-                if data_or_none is None:
+                received = yield from read(sock, deadline)
+                if received is None:
                     return "late"
-                whole = side.feed(data_or_none)
-                if whole is not None:
-                    keep = side.reuse()
-                    self.outcome.statuses[whole.status] += 1
-                    after = [value for key, value in whole.headers if key.lower() == b"retry-after"]
-                    if after:
-                        self.outcome.come_back.append(float(after[0]))
-                    return fate(whole.status)
-                if not data_or_none:
+                response = side.feed(received)
+                if response is not None:
+                    reusable = side.reuse()
+                    self.outcome.statuses[response.status] += 1
+                    retry_after = [
+                        value for name, value in response.headers if name.lower() == b"retry-after"
+                    ]
+                    if retry_after:
+                        self.outcome.come_back.append(float(retry_after[0]))
+                    return classify_status(response.status)
+                if not received:
                     return "lost"
         finally:
-            if keep:
-                self.idle.append((sock, side))
+            if reusable:
+                self.idle_connections.append((sock, side))
             else:
-                self.drop(sock, "")
+                self.close_connection(sock, "")
 
-    def drop(self, sock: socket.socket, how: str) -> str:
-        self.open -= 1
+    def close_connection(self, sock: socket.socket, fate: str) -> str:
+        self.open_connections -= 1
         close(self.loop, sock)
-        return how
+        return fate
 
     def close(self) -> None:
-        for sock, _ in self.idle:
+        for sock, _ in self.idle_connections:
             close(self.loop, sock)
 
 
 def play(
-    to: tuple[str, int], shape: Shape, asked: Asked, prefix: str = "r", most: int = 512,
-    ended: Callable[[int, str, float], None] = lambda second, how, ms: None,
+    address: tuple[str, int], shape: Shape, template: Asked, id_prefix: str = "r", max_connections: int = 512,
+    on_end: Callable[[int, str, float], None] = lambda second, fate, ms: None,
 ) -> Outcome:  # fmt: skip
-    """A whole load in this process, to its last answer or until patience has ended."""
+    """Runs a whole load in this process, until all requests have ended or timed out."""
     clock = Clock()
     loop = Loop(clock)
-    load = Load(loop, clock, to, asked, prefix, most, ended)
+    load = Load(loop, clock, address, template, id_prefix, max_connections, on_end)
     load.start(shape.times())
-    limit = clock() + int((shape.seconds + asked.patience + 5) * SECOND)
-    while not load.over() and clock() < limit:
+    deadline = clock() + int((shape.seconds + template.patience + 5) * SECOND)
+    while not load.over() and clock() < deadline:
         loop.at(clock() + 20 * MILLISECOND, lambda: None)
         loop.turn()
     load.close()
--- a/maddercart/rig/outcomes.py
+++ b/maddercart/rig/outcomes.py
@@ -1,4 +1,4 @@
-"""Loads in several processes, put together, and shown."""
+"""Runs a load in one or several processes, merges the results and prints or plots them."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -12,91 +12,101 @@
 
 from maddercart.rig.load import FATES, Asked, Outcome, Shape, play
 
-Told = tuple[
+# (fates, statuses, (fates, latencies in ms) by second, encoded histogram, behind_ms, fates by request id)
+ProcessResult = tuple[
     Counter[str], Counter[int], dict[int, tuple[Counter[str], list[float]]], str, float, dict[str, str]
 ]
 
 
-def one(to: tuple[str, int], shape: Shape, asked: Asked, prefix: str) -> Told:
-    """In a process of its own; what can be sent back."""
-    made = play(to, shape, asked, prefix)
-    seconds = {at: (second.fates, second.times) for at, second in made.seconds.items()}
-    return made.fates, made.statuses, seconds, made.histogram.encode().decode(), made.behind_ms, made.answers
+def run_one(address: tuple[str, int], shape: Shape, template: Asked, id_prefix: str) -> ProcessResult:
+    """Runs a load in a worker process and returns its results in a form that can be pickled."""
+    result = play(address, shape, template, id_prefix)
+    seconds = {second: (stats.fates, stats.times) for second, stats in result.seconds.items()}
+    return (
+        result.fates,
+        result.statuses,
+        seconds,
+        result.histogram.encode().decode(),
+        result.behind_ms,
+        result.answers,
+    )
 
 
-def run(to: tuple[str, int], shapes: Sequence[Shape], asked: Asked) -> Outcome:
+def run_processes(address: tuple[str, int], shapes: Sequence[Shape], template: Asked) -> Outcome:
     if len(shapes) == 1:
-        return play(to, shapes[0], asked, "p0")
-    whole = Outcome()
+        return play(address, shapes[0], template, "p0")
+    total = Outcome()
     with ProcessPoolExecutor(len(shapes), mp_context=get_context("spawn")) as pool:
-        futures = [pool.submit(one, to, shape, asked, f"p{n}") for n, shape in enumerate(shapes)]
+        futures = [pool.submit(run_one, address, shape, template, f"p{n}") for n, shape in enumerate(shapes)]
         for future in futures:
-            fates, statuses, seconds, histogram, behind, answers = future.result()
-            whole.fates += fates
-            whole.statuses += statuses
-            whole.histogram.add(HdrHistogram.decode(histogram))
-            whole.behind_ms = max(whole.behind_ms, behind)
-            whole.answers |= answers
-            for at, (second_fates, times) in seconds.items():
-                from maddercart.rig.load import Second
-
-                into = whole.seconds.setdefault(at, Second())
-                into.fates += second_fates
-                into.times += times
-    return whole
-
-
-def twice(outcome: Outcome, stands: Sequence[tuple[str, int]]) -> list[str]:
-    """Request ids of this load that took effect more than once, over all stand-ins that are asked."""
-    ran: Counter[str] = Counter()
-    for host, port in stands:
+            fates, statuses, seconds, histogram, behind_ms, answers = future.result()
+            total.fates += fates
+            total.statuses += statuses
+            total.histogram.add(HdrHistogram.decode(histogram))
+            total.behind_ms = max(total.behind_ms, behind_ms)
+            total.answers |= answers
+            for second, (second_fates, times) in seconds.items():
+                from maddercart.rig.load import SecondStats
+
+                stats = total.seconds.setdefault(second, SecondStats())
+                stats.fates += second_fates
+                stats.times += times
+    return total
+
+
+def twice(outcome: Outcome, servers: Sequence[tuple[str, int]]) -> list[str]:
+    """Request ids of this load that took effect more than once, summed over the given stand-ins."""
+    runs: Counter[str] = Counter()
+    for host, port in servers:
         connection = HTTPConnection(host, port, timeout=10)
         connection.request("GET", "/-/runs")
-        ran += Counter(msgspec.json.decode(connection.getresponse().read(), type=dict[str, int]))
+        runs += Counter(msgspec.json.decode(connection.getresponse().read(), type=dict[str, int]))
         connection.close()
-    return sorted(name for name, count in ran.items() if count > 1 and name in outcome.answers)
+    return sorted(
+        request_id for request_id, count in runs.items() if count > 1 and request_id in outcome.answers
+    )
 
 
-def show(outcome: Outcome, doubled: Sequence[str], json: bool, plot: Path | None) -> None:
+def print_outcome(outcome: Outcome, doubled: Sequence[str], json: bool, plot: Path | None) -> None:
     table = outcome.table()
     statuses = {str(status): count for status, count in sorted(outcome.statuses.items())}
     if json:
         seconds = {
-            at: {**second.fates, "p50_ms": middle(second.times)}
-            for at, second in sorted(outcome.seconds.items())
+            second: {**stats.fates, "p50_ms": median(stats.times)}
+            for second, stats in sorted(outcome.seconds.items())
         }
-        told = {**table, "statuses": statuses, "doubled": doubled, "seconds": seconds}
-        print(msgspec.json.encode(told).decode())
+        report = {**table, "statuses": statuses, "doubled": doubled, "seconds": seconds}
+        print(msgspec.json.encode(report).decode())
     else:
         from rich.console import Console
         from rich.table import Table
 
-        shown = Table("what", "figure")
+        rich_table = Table("what", "figure")
         for name, value in {**table, **{f"status {k}": v for k, v in statuses.items()}}.items():
-            shown.add_row(name, f"{value:,.1f}" if isinstance(value, float) else f"{value:,}")
-        shown.add_row("took effect twice", f"{len(doubled)}")
-        Console().print(shown)
+            rich_table.add_row(name, f"{value:,.1f}" if isinstance(value, float) else f"{value:,}")
+        rich_table.add_row("took effect twice", f"{len(doubled)}")
+        Console().print(rich_table)
     if plot is not None:
-        draw(outcome, plot)
+        draw_plot(outcome, plot)
 
 
-def middle(times: Sequence[float]) -> float:
+def median(times: Sequence[float]) -> float:
     return sorted(times)[len(times) // 2] if times else 0.0
 
 
-def draw(outcome: Outcome, path: Path) -> None:
+def draw_plot(outcome: Outcome, path: Path) -> None:
     import matplotlib as mpl
 
     mpl.use("Agg")
     from matplotlib import pyplot as plt
 
-    figure, (above, below) = plt.subplots(2, 1, figsize=(8, 4), sharex=True)
+    figure, (upper, lower) = plt.subplots(2, 1, figsize=(8, 4), sharex=True)
     seconds = sorted(outcome.seconds)
-    rows = [[outcome.seconds[at].fates[name] for at in seconds] for name in FATES]
-    above.stackplot(seconds, *rows, labels=FATES, step="post")
-    above.legend(fontsize=7, ncols=6, frameon=False)
-    above.set_ylabel("requests a second")
-    below.plot(seconds, [middle(outcome.seconds[at].times) for at in seconds])
-    below.set_ylabel("p50 ms")
-    below.set_xlabel("seconds")
+    rows = [[outcome.seconds[second].fates[name] for second in seconds] for name in FATES]
+    upper.stackplot(seconds, *rows, labels=FATES, step="post")
+    upper.legend(fontsize=7, ncols=6, frameon=False)
+    upper.set_ylabel("requests a second")
+    lower.plot(seconds, [median(outcome.seconds[second].times) for second in seconds])
+    lower.set_ylabel("p50 ms")
+    lower.set_xlabel("seconds")
     figure.savefig(path, bbox_inches="tight")
--- a/maddercart/rig/plays.py
+++ b/maddercart/rig/plays.py
@@ -43,7 +43,7 @@
     broken: list[str]  # one line for each rule violation
     asked: int  # queries that clients sent
     done: int  # queries answered with status 200
-    withdrawn: int  # the sidecar's counter of that name, summed over its processes
+    withdrawn: int  # dispatches that the sidecar withdrew, over all its processes
 
 
 class Play:
--- a/maddercart/rig/standin.py
+++ b/maddercart/rig/standin.py
@@ -1,5 +1,8 @@
-"""A stand-in for an HTTP server: settable speed, cores, cold start, error share, silence and drain; its
-faults come from a script, or while it runs by a request to `/-/fault`. What it runs takes time, not CPU."""
+"""A stand-in for an HTTP server with configurable speed, cores, cold start and faults.
+
+Faults come from a schedule, or at run time from a request to `/-/fault`. The simulated work takes time and no
+CPU.
+"""
 
 import socket
 from collections import Counter
@@ -17,93 +20,105 @@
 from maddercart.sidecar.clock import Clock
 
 FAULTS = ("up", "silent", "down", "errors", "slow", "drain", "cold")
-PATIENCE = 60 * SECOND  # of a connection between requests
+IDLE_TIMEOUT_NS = 60 * SECOND  # idle timeout of a connection between requests
 
 
-class BadFault(ValueError):
-    """No such fault, or no such time."""
+class InvalidFault(ValueError):
+    """The text of a fault has no valid kind, time or figure."""
 
 
 @dataclass(frozen=True)
 class Fault:
-    """From `at` on (nanoseconds after the start): a state, with its figure (errors: share; slow: factor)."""
+    """A state that the server enters `delay` nanoseconds after its start.
+
+    `value` is the share of failing requests for `errors` and the factor for `slow`; other kinds ignore it.
+    """
 
-    at: int
+    delay: int
     kind: str
-    figure: float = 1.0
+    value: float = 1.0
 
 
-def read_fault(text: str) -> Fault:
-    """`5:silent`, `10:errors:0.5`, `20:up`. Raises `BadFault`."""
-    at, _, rest = text.partition(":")
-    kind, _, figure = rest.partition(":")
+def parse_fault(text: str) -> Fault:
+    """Parses SECONDS:KIND[:FIGURE], such as `5:silent` or `10:errors:0.5`. Raises `InvalidFault`."""
+    delay, _, rest = text.partition(":")
+    kind, _, value = rest.partition(":")
     try:
-        fault = Fault(round(float(at) * SECOND), kind, float(figure or 1.0))
+        fault = Fault(round(float(delay) * SECOND), kind, float(value or 1.0))
     except ValueError as error:
-        raise BadFault(f"{text!r}: {error}") from error
-    if kind not in FAULTS or not 0 <= fault.figure < 1e6 or fault.at < 0:
-        raise BadFault(f"{text!r}: a fault is SECONDS:KIND[:FIGURE], the kind one of {', '.join(FAULTS)}")
+        raise InvalidFault(f"{text!r}: {error}") from error
+    if kind not in FAULTS or not 0 <= fault.value < 1e6 or fault.delay < 0:
+        raise InvalidFault(f"{text!r}: a fault is SECONDS:KIND[:FIGURE], the kind one of {', '.join(FAULTS)}")
     return fault
 
 
 @dataclass(frozen=True)
 class Terms:
-    """Milliseconds of work on one core, log-normal; the seed is of all chance in it."""
+    """Settings of a stand-in.
+
+    A request takes `work_ms` of one core on average, log-normally distributed with `spread` as the standard
+    deviation of the logarithm. All random draws follow from `seed`.
+    """
 
     work_ms: float = 10.0
     spread: float = 0.3
     cores: int = 2
-    room: int = 64
-    cold_start: float = 0.2
-    ramp: float = 10.0
-    remembers: float = 10.0
-    body: int = 64
+    queue_limit: int = 64
+    cold_speed: float = 0.2
+    ramp_seconds: float = 10.0
+    key_memory_seconds: float = 10.0
+    body_bytes: int = 64
     seed: int = 1
     faults: tuple[Fault, ...] = field(default=())
 
 
 class StandIn:
-    """One server on one address. `runs` counts, for each request id, how often it took effect."""
+    """One server on one address. `runs` counts by request id how often a request took effect."""
 
     def __init__(self, loop: Loop, clock: Clock, at: tuple[str, int], terms: Terms) -> None:
         self.loop, self.clock, self.terms = loop, clock, terms
-        self.chance = Random(terms.seed)
+        self.rng = Random(terms.seed)
         self.listener = listen(at)
         self.at: tuple[str, int] = self.listener.getsockname()
-        self.state, self.figure = "up", 1.0
-        self.warm_from = -(1 << 60)  # when it started
-        self.free = [0] * terms.cores  # when each core is free
-        self.starts: list[int] = []  # of what waits
+        self.state, self.state_value = "up", 1.0
+        self.cold_since = -(1 << 60)  # when the last cold start began; at first so long ago that it is warm
+        self.core_free_at = [0] * terms.cores  # a heap of the instants at which each core becomes free
+        self.queued_starts: list[int] = []  # a heap of the instants at which queued requests start
         self.runs: Counter[str] = Counter()
-        self.marks: dict[str, int] = {}
+        self.key_used_at: dict[str, int] = {}  # last use of each idempotency key
         self.counts: Counter[str] = Counter()
-        self.conversations: set[Task] = set()
+        self.connections: set[Task] = set()
         self.acceptor: Task | None = loop.spawn(self.accept())
-        began = clock()
+        started_at = clock()
         for fault in terms.faults:
-            loop.at(began + fault.at, lambda fault=fault: self.fail(fault.kind, fault.figure))  # type: ignore[misc]
+            loop.at(started_at + fault.delay, lambda fault=fault: self.fail(fault.kind, fault.value))  # type: ignore[misc]
 
     # -- faults
 
-    def fail(self, kind: str, figure: float) -> None:
-        """`down` closes its address and resets its connections; what comes after it starts anew, and cold."""
+    def fail(self, kind: str, value: float) -> None:
+        """Enters a state; `value` as in `Fault`.
+
+        `down` closes the listener and all connections; any other kind then opens the address again. `cold`
+        starts the cold ramp anew, in state `up`.
+        """
         if self.state == "down" and kind != "down":
             self.listener = listen(self.at)
             self.acceptor = self.loop.spawn(self.accept())
         if kind == "down" and self.state != "down":
-            self.end()
+            self.shut_down()
         if kind == "cold":
-            self.warm_from, kind = self.clock(), "up"
-        self.state, self.figure = kind, figure
+            self.cold_since, kind = self.clock(), "up"
+        self.state, self.state_value = kind, value
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
+        """Closes the listener and all connections, and drops all work in progress."""
         if self.acceptor is not None:
             self.loop.end(self.acceptor)
         self.loop.forget(self.listener.fileno())
         self.listener.close()
-        for task in list(self.conversations):
+        for task in list(self.connections):
             self.loop.end(task)
-        self.free, self.starts = [0] * self.terms.cores, []
+        self.core_free_at, self.queued_starts = [0] * self.terms.cores, []
 
     # -- serving
 
@@ -111,19 +126,19 @@
         while True:
             yield Wait(self.listener.fileno(), READ)
             while (sock := accept(self.listener)) is not None:
-                holder: list[Task] = []
-                task = self.loop.spawn(self.serve(sock, holder))
-                holder.append(task)
+                own_task: list[Task] = []
+                task = self.loop.spawn(self.serve_connection(sock, own_task))
+                own_task.append(task)
                 if not task.over:
-                    self.conversations.add(task)
+                    self.connections.add(task)
 
-    def serve(self, sock: socket.socket, holder: list[Task]) -> Coroutine:
+    def serve_connection(self, sock: socket.socket, own_task: list[Task]) -> Coroutine:
         side = ApplicationSide(1 << 24)
         try:
             while not side.closing:
                 request = side.next_request()
                 if request is None:
-                    if side.closing or not (data := (yield from read(sock, self.clock() + PATIENCE))):
+                    if side.closing or not (data := (yield from read(sock, self.clock() + IDLE_TIMEOUT_NS))):
                         return
                     side.feed(data)
                     continue
@@ -135,8 +150,8 @@
         except (OSError, Unreadable):
             pass
         finally:
-            if holder:
-                self.conversations.discard(holder[0])
+            if own_task:
+                self.connections.discard(own_task[0])
             close(self.loop, sock)
 
     def answer(self, request: Request):  # type: ignore[no-untyped-def]
@@ -145,66 +160,73 @@
             return self.told(path, query)
         while self.state == "silent":
             yield Wait(until=self.clock() + SECOND // 10)
-            if self.state != "silent":  # what came meanwhile has been given up long ago
+            # The client has long given up a request that came during the silence.
+            if self.state != "silent":
                 return reply(500, b"was silent")
         now = self.clock()
         self.counts["came"] += 1
-        if self.state == "errors" and self.chance.random() < self.figure:
+        if self.state == "errors" and self.rng.random() < self.state_value:
             self.counts["failed"] += 1
             return reply(500, b"failed")
-        while self.starts and self.starts[0] <= now:
-            heappop(self.starts)
-        if len(self.starts) >= self.terms.room:
+        while self.queued_starts and self.queued_starts[0] <= now:
+            heappop(self.queued_starts)
+        if len(self.queued_starts) >= self.terms.queue_limit:
             self.counts["full"] += 1
             return reply(503, b"full", never_ran=True)
-        finish = self.work(now)
-        named = {name.lower(): value.decode("latin-1") for name, value in request.headers}
-        self.take_effect(now, named.get(b"x-request-id", ""), named.get(b"idempotency-key", ""))
+        finish = self.schedule_work(now)
+        headers = {name.lower(): value.decode("latin-1") for name, value in request.headers}
+        self.take_effect(now, headers.get(b"x-request-id", ""), headers.get(b"idempotency-key", ""))
         yield Wait(until=finish)
-        return reply(200, b"x" * self.terms.body)
-
-    def work(self, now: int) -> int:
-        """When it will be done: first come, first served on the cores."""
-        age = (now - self.warm_from) / SECOND / max(self.terms.ramp, 1e-9)
-        speed = 1.0 if age >= 1 else self.terms.cold_start + (1 - self.terms.cold_start) * max(0.0, age)
-        slow = self.figure if self.state == "slow" else 1.0
-        took = self.terms.work_ms * self.chance.lognormvariate(-(self.terms.spread**2) / 2, self.terms.spread)
-        start = max(now, heappop(self.free))
-        finish = start + int(took * slow / speed * MILLISECOND)
-        heappush(self.free, finish)
+        return reply(200, b"x" * self.terms.body_bytes)
+
+    def schedule_work(self, now: int) -> int:
+        """Assigns the work to the core that is free first; returns when it will be done."""
+        progress = (now - self.cold_since) / SECOND / max(self.terms.ramp_seconds, 1e-9)
+        speed = (
+            1.0 if progress >= 1 else self.terms.cold_speed + (1 - self.terms.cold_speed) * max(0.0, progress)
+        )
+        slowdown = self.state_value if self.state == "slow" else 1.0
+        duration_ms = self.terms.work_ms * self.rng.lognormvariate(
+            -(self.terms.spread**2) / 2, self.terms.spread
+        )
+        start = max(now, heappop(self.core_free_at))
+        finish = start + int(duration_ms * slowdown / speed * MILLISECOND)
+        heappush(self.core_free_at, finish)
         if start > now:
-            heappush(self.starts, start)
+            heappush(self.queued_starts, start)
         return finish
 
-    def take_effect(self, now: int, name: str, mark: str) -> None:
-        if mark:
-            known = self.marks.get(mark)
-            self.marks[mark] = now
-            if known is not None and now - known < self.terms.remembers * SECOND:
+    def take_effect(self, now: int, request_id: str, key: str) -> None:
+        """Counts an execution, unless the idempotency key was used recently. Empty `key`: none."""
+        if key:
+            last_used_at = self.key_used_at.get(key)
+            self.key_used_at[key] = now
+            if last_used_at is not None and now - last_used_at < self.terms.key_memory_seconds * SECOND:
                 self.counts["repeats_dropped"] += 1
                 return
-        self.runs[name] += 1
+        self.runs[request_id] += 1
         self.counts["ran"] += 1
 
-    def told(self, path: str, query: str) -> "Told":
+    def told(self, path: str, query: str) -> "Reply":
+        """Answers a request to a control path below `/-/`."""
         if path == "/-/runs":
             return reply(200, msgspec.json.encode(self.runs))
         if path == "/-/counts":
-            return reply(200, msgspec.json.encode({**self.counts, "waiting": len(self.starts)}))
+            return reply(200, msgspec.json.encode({**self.counts, "waiting": len(self.queued_starts)}))
         if path == "/-/fault":
-            words = {name: values[0] for name, values in parse_qs(query).items()}
+            arguments = {name: values[0] for name, values in parse_qs(query).items()}
             try:
-                fault = read_fault(f"0:{words.get('kind', '')}:{words.get('figure', '')}")
-            except BadFault as error:
+                fault = parse_fault(f"0:{arguments.get('kind', '')}:{arguments.get('figure', '')}")
+            except InvalidFault as error:
                 return reply(400, str(error).encode())
-            self.loop.at(self.clock(), lambda: self.fail(fault.kind, fault.figure))
+            self.loop.at(self.clock(), lambda: self.fail(fault.kind, fault.value))
             return reply(200, b"so be it")
         return reply(404, b"unknown")
 
 
-Told = tuple[int, list[tuple[bytes, bytes]], bytes]
+Reply = tuple[int, list[tuple[bytes, bytes]], bytes]  # (status, headers, body)
 
 
-def reply(status: int, body: bytes, never_ran: bool = False) -> Told:
+def reply(status: int, body: bytes, never_ran: bool = False) -> Reply:
     headers = [(b"Content-Length", b"%d" % len(body))]
     return status, headers + [(b"X-Never-Ran", b"1")] * never_ran, body
