--- a/maddercart/rig/standin.py
+++ b/maddercart/rig/standin.py
@@ -57,7 +57,9 @@
     """Settings of a stand-in.
 
     A request takes `work_ms` of one core on average, log-normally distributed with `spread` as the standard
-    deviation of the logarithm. All random draws follow from `seed`.
+    deviation of the logarithm. Up to `queue_limit` requests wait for a core. After a cold start the speed
+    rises from the share `cold_speed` to full speed in `ramp_seconds`. A repeated idempotency key has no
+    effect within `key_memory_seconds` of its last use. All random draws follow from `seed`.
     """
 
     work_ms: float = 10.0
--- a/maddercart/rig/world.py
+++ b/maddercart/rig/world.py
@@ -124,6 +124,8 @@
 
 
 class FakeUpstreams:
+    """All upstreams of a play, and a record of every dispatch that the sidecar sent to them."""
+
     def __init__(self, network: SimulatedNetwork, rng: Random, fault_share: float) -> None:
         """`fault_share`: share of queries that are bounced, reset, answered with an error or not at all."""
         self.network, self.rng, self.fault_share = network, rng, fault_share
@@ -298,6 +300,8 @@
 
 
 class ClientConnection(RemoteEnd):
+    """A client's side of a connection that carries one query."""
+
     def __init__(self, network: SimulatedNetwork, query: ClientQuery) -> None:
         super().__init__(network)
         self.query, self.buffer = query, b""
@@ -318,6 +322,8 @@
 
 
 class FakeClients:
+    """Sends queries of random offerings to the sidecar, each on a connection of its own."""
+
     def __init__(
         self, network: SimulatedNetwork, address: Address, offerings: list[tuple[str, int]], rng: Random
     ) -> None:
