--- a/maddercart/lab/__init__.py
+++ b/maddercart/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A model of a fleet, for experiments: clients, sidecars, servers, the list. All figures simulated."""
+"""Simulation of a fleet (clients, sidecars, servers, the list) for experiments; all figures are simulated."""
--- a/maddercart/lab/referee.py
+++ b/maddercart/lab/referee.py
@@ -1,12 +1,21 @@
-"""Judges the four rules by what truly happens. It shares no code with the policies or their host: it is told
-by the world what was taken, sent, run, answered and listed, and keeps its own account."""
+"""Checks the four rules against the true events of a simulated day.
+
+Rule 1: each query gets one final answer, before its hard stop, and no dispatch follows the answer.
+Rule 2: no effect takes place twice.
+Rule 3: no new dispatch goes to a server that drains or is gone, once the drain grace has passed.
+Rule 4: no cold server receives more work than its limit.
+
+The referee shares no code with the policies or their host. The simulated world tells it what was taken, sent,
+run, answered and listed, and it keeps its own records. All times are nanoseconds of simulated time.
+"""
 
 from collections import deque
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# How a dispatch ended, by the numbers of the interface: only these say that it did not run.
-KNOWN_NOT_RUN = (3, 5, 8)
+# The outcomes FULL, UNREACHABLE and MOOT of maddercart/interface.py: only these prove that a dispatch did not
+# run.
+NEVER_RAN_OUTCOMES = (3, 5, 8)
 REDOABLE, LABELLED, IRREVERSIBLE = 0, 1, 2
 EVERYWHERE, SAME_ZONE, SAME_CELL = 0, 1, 2
 READY = 1
@@ -14,7 +23,10 @@
 
 @dataclass(frozen=True)
 class Terms:
-    """Of an offering: what it may suffer, and for how long repeats are dropped (nanoseconds)."""
+    """Effect of an offering, the group of servers that drops its repeats, and for how long (nanoseconds).
+
+    `effect` and `group` hold the numbers of the constants above.
+    """
 
     effect: int
     group: int
@@ -23,6 +35,8 @@
 
 @dataclass(frozen=True)
 class Breach:
+    """One violation of a rule (1 to 4)."""
+
     rule: int
     text: str
 
@@ -30,26 +44,38 @@
         return f"rule {self.rule}: {self.text}"
 
 
-def clock(now: int) -> str:
-    return f"{now / 1e9:.6f} s"
+def seconds(nanoseconds: int) -> str:
+    return f"{nanoseconds / 1e9:.6f} s"
 
 
-class Account:
-    """Of one query: what was done with it."""
+class QueryRecord:
+    """The history of one query; `wish` numbers the client's request, whose retries are further queries."""
 
-    __slots__ = ("answer", "offering", "shots", "sidecar", "stop", "taken", "wish")
+    __slots__ = ("answer", "dispatches", "hard_stop", "offering", "sidecar", "taken_at", "wish")
 
-    def __init__(self, taken: int, wish: int, offering: int, stop: int, sidecar: int) -> None:
-        self.taken, self.wish, self.offering, self.stop, self.sidecar = taken, wish, offering, stop, sidecar
-        self.answer: tuple[int, str] | None = None
-        self.shots: list[list[int]] = []  # server, zone, cell, when, how it ended (0: not yet)
+    def __init__(self, taken_at: int, wish: int, offering: int, hard_stop: int, sidecar: int) -> None:
+        self.taken_at, self.wish, self.offering, self.hard_stop, self.sidecar = (
+            taken_at,
+            wish,
+            offering,
+            hard_stop,
+            sidecar,
+        )
+        self.answer: tuple[int, str] | None = None  # instant, kind of answer
+        self.dispatches: list[list[int]] = []  # server, zone, cell, instant, outcome (0: pending)
 
 
 class Referee:
-    """`places`: each server's zone and cell; times are nanoseconds; `breaches` holds the first hundred."""
+    """Records events of a day and collects breaches of the four rules.
+
+    `places` holds the zone and cell of each server. `grace` is how long a dispatch may still be sent after
+    the notice of a drain, in nanoseconds. Within `window` nanoseconds a cold server may receive `multiple`
+    times the work that it can do in that time. `count` is the number of all breaches; `breaches` holds the
+    first `MAX_KEPT_BREACHES` of them.
+    """
 
-    KEEP = 100
-    KEPT_FOR = 30 * 10**9  # after a query's hard stop its account is forgotten: nothing is sent so late
+    MAX_KEPT_BREACHES = 100
+    RETENTION_NS = 30 * 10**9  # how long a record is kept after the hard stop; no dispatch is sent so late
 
     def __init__(
         self,
@@ -59,216 +85,225 @@
         multiple: float,
         window: int,
     ) -> None:
-        self.offerings, self.places, self.grace, self.multiple, self.window = (
+        self.offerings, self.places, self.drain_grace, self.cold_multiple, self.cold_window = (
             offerings,
             places,
             grace,
             multiple,
             window,
         )
-        self.accounts: dict[int, Account] = {}
-        self.order: deque[int] = deque()
-        self.effects: dict[int, tuple[int, int]] = {}  # by wish: the server where it took effect, when
-        self.closed_to: dict[
-            int, dict[int, int]
-        ] = {}  # by sidecar: servers told to drain or be gone, since when
-        self.stood: dict[int, list[tuple[int, int]]] = {}
-        self.cold: dict[int, deque[tuple[int, float]]] = {}
-        self.cold_sums: dict[int, float] = {}
-        self.cold_most = 0.0  # the nearest that one came to its limit, 1 being at it
+        self.queries: dict[int, QueryRecord] = {}
+        self.query_order: deque[int] = deque()
+        self.first_effects: dict[int, tuple[int, int]] = {}  # by wish: server, instant
+        # By sidecar, by server: the instant at which the sidecar was told that the server drains or is gone.
+        self.not_ready_since: dict[int, dict[int, int]] = {}
+        self.pauses: dict[int, list[tuple[int, int]]] = {}  # by sidecar: start, end
+        self.cold_arrivals: dict[int, deque[tuple[int, float]]] = {}  # by server: instant, work
+        self.cold_sums: dict[int, float] = {}  # by server: total of `cold_arrivals`
+        self.cold_most = 0.0  # highest load of a cold server, as a part of its limit
         self.breaches: list[Breach] = []
         self.count = 0
 
-    def broken(self, rule: int, text: str) -> None:
+    def record_breach(self, rule: int, text: str) -> None:
         self.count += 1
-        if len(self.breaches) < self.KEEP:
+        if len(self.breaches) < self.MAX_KEPT_BREACHES:
             self.breaches.append(Breach(rule, text))
 
-    # -- rule 1: one final answer, before the hard stop, and nothing after it
+    # -- rule 1: one final answer, before the hard stop, and no dispatch after it
 
-    def taken(self, now: int, number: int, wish: int, offering: int, stop: int, sidecar: int) -> None:
-        self.accounts[number] = Account(now, wish, offering, stop, sidecar)
-        self.order.append(number)
-        while self.order and (old := self.accounts.get(self.order[0])) is not None:
-            if old.stop + self.KEPT_FOR > now:
+    def taken(self, now: int, number: int, wish: int, offering: int, hard_stop: int, sidecar: int) -> None:
+        self.queries[number] = QueryRecord(now, wish, offering, hard_stop, sidecar)
+        self.query_order.append(number)
+        while self.query_order and (oldest := self.queries.get(self.query_order[0])) is not None:
+            if oldest.hard_stop + self.RETENTION_NS > now:
                 break
-            self.settle(self.order.popleft(), old)
+            self.finish_query(self.query_order.popleft(), oldest)
 
-    def settle(self, number: int, account: Account) -> None:
-        if account.answer is None and not self.excused(account, account.stop):
-            self.broken(
+    def finish_query(self, number: int, record: QueryRecord) -> None:
+        if record.answer is None and not self.was_paused(record, record.hard_stop):
+            self.record_breach(
                 1,
-                f"query {number}, taken at {clock(account.taken)} by sidecar {account.sidecar}, got no "
-                f"answer by its hard stop at {clock(account.stop)}",
+                f"query {number}, taken at {seconds(record.taken_at)} by sidecar {record.sidecar}, got no "
+                f"answer by its hard stop at {seconds(record.hard_stop)}",
             )
-        del self.accounts[number]
+        del self.queries[number]
 
-    def excused(self, account: Account, until: int) -> bool:  # its sidecar stood still meanwhile
+    def was_paused(self, record: QueryRecord, until: int) -> bool:
+        """Whether the query's sidecar was paused at any time between taking the query and `until`."""
         return any(
-            end > account.taken and start <= until for start, end in self.stood.get(account.sidecar, ())
+            end > record.taken_at and start <= until for start, end in self.pauses.get(record.sidecar, ())
         )
 
     def answered(self, now: int, number: int, how: str) -> None:
-        account = self.accounts.get(number)
-        if account is None:
-            return self.broken(
-                1, f"query {number} got the answer {how} at {clock(now)}, but is held by nobody"
+        record = self.queries.get(number)
+        if record is None:
+            return self.record_breach(
+                1, f"query {number} got the answer {how} at {seconds(now)}, but is held by nobody"
             )
-        if account.answer is not None:
-            then, first = account.answer
-            return self.broken(
+        if record.answer is not None:
+            answered_at, first = record.answer
+            return self.record_breach(
                 1,
-                f"query {number} got a second answer, {how} at {clock(now)}, after {first} at "
-                f"{clock(then)}, from sidecar {account.sidecar}",
+                f"query {number} got a second answer, {how} at {seconds(now)}, after {first} at "
+                f"{seconds(answered_at)}, from sidecar {record.sidecar}",
             )
-        if now > account.stop and not self.excused(account, now):
-            self.broken(
+        if now > record.hard_stop and not self.was_paused(record, now):
+            self.record_breach(
                 1,
-                f"query {number} got its answer, {how}, at {clock(now)}, after its hard stop at "
-                f"{clock(account.stop)}, from sidecar {account.sidecar}",
+                f"query {number} got its answer, {how}, at {seconds(now)}, after its hard stop at "
+                f"{seconds(record.hard_stop)}, from sidecar {record.sidecar}",
             )
-        account.answer = (now, how)
+        record.answer = (now, how)
         if how == "bounce":
-            self.bounced(now, number, account)
+            self.check_bounce(now, number, record)
 
     def left(self, now: int, number: int) -> None:
-        if (account := self.accounts.get(number)) is not None and account.answer is None:
-            account.answer = (now, "left")
+        """Notes that the client has gone and is owed no answer."""
+        if (record := self.queries.get(number)) is not None and record.answer is None:
+            record.answer = (now, "left")
 
     def restarted(self, sidecar: int) -> None:
-        """What its process held ended with it: no answer is owed by nobody."""
-        for account in self.accounts.values():
-            if account.sidecar == sidecar and account.answer is None:
-                account.answer = (account.stop, "lost")
-        self.closed_to.pop(sidecar, None)
+        """Excuses the queries that the sidecar held: they ended with its process, so no answer is owed."""
+        for record in self.queries.values():
+            if record.sidecar == sidecar and record.answer is None:
+                record.answer = (record.hard_stop, "lost")
+        self.not_ready_since.pop(sidecar, None)
 
     def stood_still(self, sidecar: int, start: int, end: int) -> None:
-        self.stood.setdefault(sidecar, []).append((start, end))
-
-    def sent(self, now: int, number: int, shot: int, server: int, sidecar: int, zone: int) -> None:
-        account = self.accounts.get(number)
-        if account is None:
-            return self.broken(
-                1, f"query {number} was sent to server {server} at {clock(now)}, but is not held"
+        """Notes a pause of the sidecar's process, which excuses late answers."""
+        self.pauses.setdefault(sidecar, []).append((start, end))
+
+    def sent(self, now: int, number: int, dispatch_index: int, server: int, sidecar: int, zone: int) -> None:
+        record = self.queries.get(number)
+        if record is None:
+            return self.record_breach(
+                1, f"query {number} was sent to server {server} at {seconds(now)}, but is not held"
             )
-        if account.answer is not None:
-            then, how = account.answer
-            self.broken(
+        if record.answer is not None:
+            answered_at, how = record.answer
+            self.record_breach(
                 1,
-                f"query {number} was sent to server {server} at {clock(now)}, after its answer, {how} at "
-                f"{clock(then)}, by sidecar {sidecar}",
+                f"query {number} was sent to server {server} at {seconds(now)}, after its answer, {how} at "
+                f"{seconds(answered_at)}, by sidecar {sidecar}",
             )
         if not 0 <= server < len(self.places):
-            return self.broken(
-                3, f"query {number} was sent to server {server} at {clock(now)}, which does not exist"
+            return self.record_breach(
+                3,
+                f"query {number} was sent to server {server} at {seconds(now)}, which does not exist",
             )
-        self.may_repeat(now, number, account, server)
-        account.shots.append([server, *self.places[server], now, 0])
-        since = self.closed_to.get(sidecar, {}).get(server)
-        if since is not None and now > since + self.grace:
-            self.broken(
+        self.check_repeat(now, number, record, server)
+        record.dispatches.append([server, *self.places[server], now, 0])
+        since = self.not_ready_since.get(sidecar, {}).get(server)
+        if since is not None and now > since + self.drain_grace:
+            self.record_breach(
                 3,
-                f"query {number} was sent to server {server} at {clock(now)} by sidecar {sidecar}, which "
-                f"was told at {clock(since)} that it drains or is gone",
+                f"query {number} was sent to server {server} at {seconds(now)} by sidecar {sidecar}, which "
+                f"was told at {seconds(since)} that it drains or is gone",
             )
 
     # -- rule 2: no effect twice
 
-    def suspects(self, account: Account) -> list[list[int]]:
-        return [shot for shot in account.shots if shot[4] not in KNOWN_NOT_RUN]
+    def possible_runs(self, record: QueryRecord) -> list[list[int]]:
+        """The dispatches that ran or may have run."""
+        return [dispatch for dispatch in record.dispatches if dispatch[4] not in NEVER_RAN_OUTCOMES]
 
-    def may_repeat(self, now: int, number: int, account: Account, server: int) -> None:
-        terms, suspects = self.offerings[account.offering], self.suspects(account)
-        if terms.effect == REDOABLE or not suspects:
+    def check_repeat(self, now: int, number: int, record: QueryRecord, server: int) -> None:
+        terms, possible_runs = self.offerings[record.offering], self.possible_runs(record)
+        if terms.effect == REDOABLE or not possible_runs:
             return
         zone, cell = self.places[server]
-        first = suspects[0]
-        why = ""
+        first = possible_runs[0]
+        reason = ""
         if terms.effect == IRREVERSIBLE:
-            why = "is irreversible"
+            reason = "is irreversible"
         elif now >= first[3] + terms.window:
-            why = f"is past its window of {clock(terms.window)}"
+            reason = f"is past its window of {seconds(terms.window)}"
         elif (terms.group == SAME_ZONE and zone != first[1]) or (
             terms.group == SAME_CELL and cell != first[2]
         ):
-            why = "leaves the group that drops its repeats"
-        if why:
-            self.broken(
+            reason = "leaves the group that drops its repeats"
+        if reason:
+            self.record_breach(
                 2,
-                f"query {number} was sent to server {server} at {clock(now)}, though it may have run at "
-                f"server {first[0]} since {clock(first[3])}: it {why}",
+                f"query {number} was sent to server {server} at {seconds(now)}, though it may have run at "
+                f"server {first[0]} since {seconds(first[3])}: it {reason}",
             )
 
-    def bounced(self, now: int, number: int, account: Account) -> None:
-        terms, suspects = self.offerings[account.offering], self.suspects(account)
+    def check_bounce(self, now: int, number: int, record: QueryRecord) -> None:
+        terms, possible_runs = self.offerings[record.offering], self.possible_runs(record)
         if (
-            not suspects
+            not possible_runs
             or terms.effect == REDOABLE
             or (terms.effect == LABELLED and terms.group == EVERYWHERE)
         ):
             return
-        self.broken(
+        self.record_breach(
             2,
-            f"query {number} was bounced at {clock(now)}, though it may have run at server "
-            f"{suspects[0][0]} since {clock(suspects[0][3])}",
+            f"query {number} was bounced at {seconds(now)}, though it may have run at server "
+            f"{possible_runs[0][0]} since {seconds(possible_runs[0][3])}",
         )
 
-    def ended(self, number: int, shot: int, how: int) -> None:
-        if (account := self.accounts.get(number)) is not None and shot < len(account.shots):
-            account.shots[shot][4] = how
+    def ended(self, number: int, dispatch_index: int, outcome: int) -> None:
+        """Notes the outcome of a dispatch, by its number in maddercart/interface.py."""
+        if (record := self.queries.get(number)) is not None and dispatch_index < len(record.dispatches):
+            record.dispatches[dispatch_index][4] = outcome
 
     def ran(self, now: int, wish: int, number: int, server: int, offering: int) -> None:
-        """Called for each run that took effect: what the server dropped as a repeat is not one."""
+        """Notes a run that took effect. Not called for a repeat that the server dropped."""
         if self.offerings[offering].effect == REDOABLE:
             return
-        first = self.effects.setdefault(wish, (server, now))
+        first = self.first_effects.setdefault(wish, (server, now))
         if first != (server, now):
-            self.broken(
+            self.record_breach(
                 2,
-                f"query {number} (wish {wish}) took effect at server {server} at {clock(now)}, and before "
-                f"at server {first[0]} at {clock(first[1])}",
+                f"query {number} (wish {wish}) took effect at server {server} at {seconds(now)}, and before "
+                f"at server {first[0]} at {seconds(first[1])}",
             )
 
-    # -- rule 3: nothing new to what drains or is gone, later than the grace
+    # -- rule 3: no new dispatch to a server that drains or is gone, once the grace has passed
 
     def told(self, now: int, sidecar: int, entries: Sequence[tuple], whole: bool) -> None:  # type: ignore[type-arg]
-        closed = self.closed_to.setdefault(sidecar, {})
+        """Notes a list update that reached a sidecar; with `whole`, servers that are not on it are gone."""
+        not_ready = self.not_ready_since.setdefault(sidecar, {})
         if whole:
             listed = {entry[0] for entry in entries}
             for server in range(len(self.places)):
                 if server not in listed:
-                    closed.setdefault(server, now)
+                    not_ready.setdefault(server, now)
         for entry in entries:
             server, condition = entry[0], entry[4]
             if condition == READY:
-                closed.pop(server, None)
+                not_ready.pop(server, None)
             else:
-                closed.setdefault(server, now)
-
-    # -- rule 4: no cold server pushed over
-
-    def came_cold(self, now: int, server: int, work: float, can: float, number: int) -> None:
-        """`can`: the work that it can do in the window that ends now (nanoseconds on a warm core, as `work`),
-        by its age; all sidecars' queries count."""
-        came = self.cold.setdefault(server, deque())
-        came.append((now, work))
-        total = self.cold_sums.get(server, 0.0) + work
-        while came[0][0] <= now - self.window:
-            total -= came.popleft()[1]
-        self.cold_sums[server] = total
-        part = total / (self.multiple * can)
-        if len(came) > 1:  # a single query heavier than all that it may get is nobody's fault
-            self.cold_most = max(self.cold_most, part)
-            if part > 1:
-                self.broken(
+                not_ready.setdefault(server, now)
+
+    # -- rule 4: no cold server overloaded
+
+    def came_cold(self, now: int, server: int, work: float, capacity: float, number: int) -> None:
+        """Notes the arrival of a query at a cold server; the queries of all sidecars count.
+
+        `work` and `capacity` are nanoseconds on a warm core; `capacity` is the work that a server of this age
+        can do in the window that ends now.
+        """
+        arrivals = self.cold_arrivals.setdefault(server, deque())
+        arrivals.append((now, work))
+        total_work = self.cold_sums.get(server, 0.0) + work
+        while arrivals[0][0] <= now - self.cold_window:
+            total_work -= arrivals.popleft()[1]
+        self.cold_sums[server] = total_work
+        load = total_work / (self.cold_multiple * capacity)
+        if len(arrivals) > 1:  # a single query may exceed the limit by itself
+            self.cold_most = max(self.cold_most, load)
+            if load > 1:
+                self.record_breach(
                     4,
-                    f"query {number} came to the cold server {server} at {clock(now)} as number {len(came)} "
-                    f"within {clock(self.window)}: {part:.2f} of the limit",
+                    f"query {number} came to the cold server {server} at {seconds(now)} as number "
+                    f"{len(arrivals)} within {seconds(self.cold_window)}: {load:.2f} of the limit",
                 )
 
     def close(self, now: int) -> None:
-        """At the end: each query whose hard stop has passed must have had its answer."""
-        for number in list(self.order):
-            account = self.accounts.get(number)
-            if account is not None and account.stop <= now:
-                self.settle(number, account)
+        """Ends the day: each query whose hard stop has passed must have its answer."""
+        for number in list(self.query_order):
+            record = self.queries.get(number)
+            if record is not None and record.hard_stop <= now:
+                self.finish_query(number, record)
