--- a/maddercart/lab/commands.py
+++ b/maddercart/lab/commands.py
@@ -1,4 +1,8 @@
-"""`maddercart lab ...`. What it needs is imported as a command runs: the sidecar's start pays nothing."""
+"""The commands `maddercart lab ...`.
+
+The dependencies of the lab are imported inside the commands, so that they don't slow down the sidecar's start
+or add to its memory.
+"""
 
 import os
 import sys
@@ -10,22 +14,22 @@
 import typer
 
 if TYPE_CHECKING:
-    from maddercart.lab.runs import Kept
+    from maddercart.lab.runs import StoredRun
 
 lab = typer.Typer(help="Experiments on a model of a fleet; all figures are simulated.", no_args_is_help=True)
 
 P = ParamSpec("P")
-Name = Annotated[str, typer.Argument(help="a TOML file, or the name of a shipped one")]
-Policy = Annotated[str, typer.Option(help="module, bound, random, round_robin, least_outstanding, ...")]
-Seed = Annotated[int, typer.Option(min=0, help="the day's seed: the same one gives the same day")]
-Jobs = Annotated[int, typer.Option(min=0, help="runs side by side; 0: one for each core")]
+NameArgument = Annotated[str, typer.Argument(help="a TOML file, or the name of a shipped one")]
+PolicyOption = Annotated[str, typer.Option(help="module, bound, random, round_robin, least_outstanding, ...")]
+SeedOption = Annotated[int, typer.Option(min=0, help="seed of the day; the same seed gives the same day")]
+JobsOption = Annotated[int, typer.Option(min=0, help="number of parallel runs; 0: one per core")]
 
 
-def told(command: Callable[P, None]) -> Callable[P, None]:
-    """An input that can't be used is one clear error and exit code 2, with nothing written."""
+def report_errors(command: Callable[P, None]) -> Callable[P, None]:
+    """Turns an unusable input into one error line and exit code 2, and an interrupt into exit code 130."""
 
     @wraps(command)
-    def run(*arguments: P.args, **named: P.kwargs) -> None:
+    def wrapper(*arguments: P.args, **named: P.kwargs) -> None:
         try:
             from maddercart.lab.scenario import ScenarioError
             from maddercart.lab.world import World  # noqa: F401
@@ -38,23 +42,23 @@
             typer.echo(f"maddercart lab: {error}", err=True)
             raise typer.Exit(2) from error
         except KeyboardInterrupt:
-            typer.echo("maddercart lab: interrupted; the same command goes on where it was", err=True)
+            typer.echo("maddercart lab: interrupted; run the same command again to resume", err=True)
             raise typer.Exit(130) from None
 
-    return run
+    return wrapper
 
 
-def cores(jobs: int) -> int:
+def worker_count(jobs: int) -> int:
     return jobs or len(os.sched_getaffinity(0))
 
 
 @lab.command()
-@told
+@report_errors
 def run(
-    scenario: Name, policy: Policy = "module", seed: Seed = 1,
+    scenario: NameArgument, policy: PolicyOption = "module", seed: SeedOption = 1,
     json: Annotated[bool, typer.Option("--json", help="the figures as JSON")] = False,
 ) -> None:  # fmt: skip
-    """Plays one day and prints what came of it."""
+    """Simulates one day and prints its figures."""
     import msgspec
     from rich.console import Console
     from rich.table import Table
@@ -84,127 +88,137 @@
 
 
 @lab.command()
-@told
+@report_errors
 def sweep(
-    experiment: Name,
+    experiment: NameArgument,
     out: Annotated[Path | None, typer.Option(help="folder of the results (found/<name>)")] = None,
-    jobs: Jobs = 0,
+    jobs: JobsOption = 0,
 ) -> None:
-    """Plays all runs of an experiment on all cores, goes on where it was, and writes the report."""
+    """Simulates all runs of an experiment, skipping those with a stored result, and writes the report."""
     from maddercart.lab import report as reports
     from maddercart.lab import results
-    from maddercart.lab import runs as players
+    from maddercart.lab import runs as simulations
     from maddercart.lab.experiment import read_experiment
 
-    read, runs = read_experiment(experiment)
+    definition, runs = read_experiment(experiment)
     folder = out or Path("found") / Path(experiment).stem
-    kept: dict[str, Kept] = {}
-    with progress(len(runs)) as seen:
-        for one in players.sweep(runs, folder, cores(jobs), seen):
-            kept[one.id] = one
-    results.write(folder, read, runs, [kept[run.id()] for run in runs])
-    failed = [one for one in kept.values() if one.failed]
-    for one in failed:
-        typer.echo(f"failed: {one.scenario} {one.figures['policy']} seed {one.figures['seed']}: "
-                   f"{one.failed.strip().splitlines()[-1]}", err=True)  # fmt: skip
-    show(list(kept.values()))
-    typer.echo(f"report: {reports.report(folder)}")
-    ours = [one for one in kept.values() if one.figures["policy"] == "module" and one.breaches]
-    for one in ours:
-        typer.echo(f"BROKEN {one.scenario} seed {one.figures['seed']}: {one.breaches[0]}", err=True)
-    if failed or ours:
+    stored_runs: dict[str, StoredRun] = {}
+    with progress_bar(len(runs)) as on_result:
+        for stored_run in simulations.run_all(runs, folder, worker_count(jobs), on_result):
+            stored_runs[stored_run.id] = stored_run
+    results.write_results(folder, definition, runs, [stored_runs[run.id()] for run in runs])
+    failed = [stored_run for stored_run in stored_runs.values() if stored_run.failed]
+    for stored_run in failed:
+        typer.echo(f"failed: {stored_run.scenario} {stored_run.figures['policy']} "
+                   f"seed {stored_run.figures['seed']}: "
+                   f"{stored_run.failed.strip().splitlines()[-1]}", err=True)  # fmt: skip
+    print_shares(list(stored_runs.values()))
+    typer.echo(f"report: {reports.write_report(folder)}")
+    module_breaches = [
+        stored_run
+        for stored_run in stored_runs.values()
+        if stored_run.figures["policy"] == "module" and stored_run.breaches
+    ]
+    for stored_run in module_breaches:
+        typer.echo(
+            f"BROKEN {stored_run.scenario} seed {stored_run.figures['seed']}: {stored_run.breaches[0]}",
+            err=True,
+        )
+    if failed or module_breaches:
         raise typer.Exit(1)
 
 
-def progress(total: int) -> Any:
+def progress_bar(total: int) -> Any:
     from contextlib import contextmanager
 
     from rich.console import Console
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
     @contextmanager
-    def shown() -> Any:
+    def show_progress() -> Any:
         columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
         with Progress(*columns, console=Console(file=sys.stderr), transient=True) as bar:
             task = bar.add_task("runs", total=total)
 
-            def seen(kept: "Kept", fresh: bool) -> None:
-                bar.update(task, advance=1, description=f"{kept.scenario} {kept.figures['policy']}")
+            def on_result(run: "StoredRun", simulated_now: bool) -> None:
+                bar.update(task, advance=1, description=f"{run.scenario} {run.figures['policy']}")
 
-            yield seen
+            yield on_result
 
-    return shown()
+    return show_progress()
 
 
-def show(kept: "list[Kept]") -> None:
+def print_shares(stored_runs: "list[StoredRun]") -> None:
     from rich.console import Console
     from rich.table import Table
 
     from maddercart.lab import results
 
-    frame = results.rows(kept)
+    frame = results.results_table(stored_runs)
     if not frame.height:
         return
-    means = results.by_policy(frame)
+    intervals = results.intervals_by_policy(frame)
     policies = list(dict.fromkeys(frame["policy"].to_list()))
     table = Table("scenario", *policies, title="share of the earnings asked for (simulated)")
-    for (scenario, point), those in means.items():
-        cells = [str(those[policy]) if policy in those else "" for policy in policies]
+    for (scenario, point), by_policy in intervals.items():
+        cells = [str(by_policy[policy]) if policy in by_policy else "" for policy in policies]
         table.add_row(f"{scenario} {point}".strip(), *cells)
     Console().print(table)
 
 
 @lab.command()
-@told
+@report_errors
 def compare(
     before: Annotated[Path, typer.Argument(help="a folder of results")],
-    after: Annotated[Path, typer.Argument(help="another of the same experiment, made by other code")],
+    after: Annotated[Path, typer.Argument(help="another folder of the same experiment, made by other code")],
     figure: Annotated[str, typer.Option(help="share, p99, cpu, dispatches, ...")] = "share",
-    drop: Annotated[float, typer.Option(help="exit with 1 where a mean falls by more")] = float("inf"),
+    drop: Annotated[float, typer.Option(help="exit with 1 if a mean falls by more than this")] = float("inf"),
 ) -> None:
-    """What changed from one folder of results to another, over the seeds that both have."""
+    """Compares two folders of results over the seeds that both have."""
     from rich.console import Console
     from rich.table import Table
 
     from maddercart.lab import results
     from maddercart.lab.scenario import ScenarioError
 
-    one, two = (results.rows(results.read_all(folder)) for folder in (before, after))
-    for frame, folder in ((one, before), (two, after)):
+    before_table, after_table = (
+        results.results_table(results.read_stored_runs(folder)) for folder in (before, after)
+    )
+    for frame, folder in ((before_table, before), (after_table, after)):
         if figure not in frame.columns:
             raise ScenarioError(f"{folder}: no figure {figure!r}, only {', '.join(frame.columns)}")
     table = Table("scenario", "policy", "more", "sure", title=f"{figure}, {after} less {before} (simulated)")
-    rows = results.paired(one, two, figure)
-    for scenario, point, policy, more in rows:
-        sure = "" if abs(more.mean) <= more.plus_minus else "yes"
-        table.add_row(f"{scenario} {point}".strip(), policy, str(more), sure)
+    rows = results.paired_differences(before_table, after_table, figure)
+    for scenario, point, policy, difference in rows:
+        significant = "" if abs(difference.mean) <= difference.plus_minus else "yes"
+        table.add_row(f"{scenario} {point}".strip(), policy, str(difference), significant)
     Console().print(table)
     if not rows:
-        raise ScenarioError(f"{after}: has no run of {before}: another experiment")
-    if any(more.mean < -drop for *_, more in rows):
+        raise ScenarioError(f"{after}: has no run in common with {before}; they are of different experiments")
+    if any(difference.mean < -drop for *_, difference in rows):
         raise typer.Exit(1)
 
 
 @lab.command()
-@told
+@report_errors
 def report(folder: Annotated[Path, typer.Argument(help="a folder of results")]) -> None:
-    """Writes the folder's report.html and plots anew."""
+    """Rewrites report.html and the plots of a folder."""
     from maddercart.lab import report as reports
 
-    typer.echo(f"report: {reports.report(folder)}")
+    typer.echo(f"report: {reports.write_report(folder)}")
 
 
 @lab.command()
-@told
+@report_errors
 def explain(
-    scenario: Name, policy: Policy = "module", seed: Seed = 1,
-    wish: Annotated[int, typer.Option(help="the story of what one client wanted, all its tries")] = -1,
-    worst: Annotated[bool, typer.Option(help="of the wish that took longest of those done")] = False,
-    server: Annotated[int, typer.Option(help="the story of one server")] = -1,
+    scenario: NameArgument, policy: PolicyOption = "module", seed: SeedOption = 1,
+    wish: Annotated[int, typer.Option(help="the events of one client request, with all its tries")] = -1,
+    worst: Annotated[bool, typer.Option(help="the events of the slowest completed request")] = False,
+    server: Annotated[int, typer.Option(help="the events of one server")] = -1,
     start: Annotated[float, typer.Option(help="seconds of the day")] = 0.0,
     end: Annotated[float, typer.Option(help="seconds of the day")] = 1e9,
 ) -> None:  # fmt: skip
-    """Plays the same day again and tells the story of one query or one server."""
+    """Simulates a day and prints the events of one client request or one server."""
     import numpy as np
 
     from maddercart.lab import scenario as scenarios
@@ -212,33 +226,36 @@
     from maddercart.lab.story import Story
     from maddercart.lab.world import World
 
-    day = scenarios.read(scenario)
+    scenario_config = scenarios.read(scenario)
     if worst:
-        world = World(day, seed, policy)
+        world = World(scenario_config, seed, policy)
         world.play()
-        took, how = np.frombuffer(world.meter.took, np.int64), np.frombuffer(world.meter.how, np.int8)
-        wish = int(np.argmax(np.where((how == 1) | (how == 2), took, -1)))
+        durations, endings = (
+            np.frombuffer(world.meter.took, np.int64),
+            np.frombuffer(world.meter.how, np.int8),
+        )
+        wish = int(np.argmax(np.where((endings == 1) | (endings == 2), durations, -1)))
     if (wish < 0) == (server < 0):
-        raise ScenarioError("explain: say which: --wish N, --worst or --server N")
+        raise ScenarioError("explain: give one of --wish N, --worst and --server N")
     story = Story(wish, server, start, end)
-    world = World(day, seed, policy, story)
+    world = World(scenario_config, seed, policy, story)
     for name, number, count in (("wish", wish, len(world.day)), ("server", server, len(world.servers))):
         if number >= count:
             raise ScenarioError(f"explain: --{name} {number}: the day has {count}")
     world.play()
-    for at, text in story.lines:
-        typer.echo(f"{at:12.6f}  {text}")
+    for seconds, text in story.lines:
+        typer.echo(f"{seconds:12.6f}  {text}")
 
 
 @lab.command(name="list")
-@told
-def listed() -> None:
-    """The scenarios and experiments that ship with the program, a line on each."""
+@report_errors
+def list_shipped() -> None:
+    """Lists the shipped scenarios and experiments."""
     from maddercart.lab import scenario as scenarios
-    from maddercart.lab.experiment import SHIPPED, read_experiment
+    from maddercart.lab.experiment import EXPERIMENTS_DIR, read_experiment
 
     for name in scenarios.shipped():
         typer.echo(f"scenario    {name:22} {scenarios.read(name).about}")
-    for path in sorted(SHIPPED.glob("*.toml")):
-        read, runs = read_experiment(path.stem)
-        typer.echo(f"experiment  {path.stem:22} {read.about} ({len(runs)} runs)")
+    for path in sorted(EXPERIMENTS_DIR.glob("*.toml")):
+        definition, runs = read_experiment(path.stem)
+        typer.echo(f"experiment  {path.stem:22} {definition.about} ({len(runs)} runs)")
--- a/maddercart/lab/policies.py
+++ b/maddercart/lab/policies.py
@@ -1,6 +1,8 @@
-"""Baselines to stand beside the module, in the lab only, and one that sees the world's true state.
+"""Load-balancing policies of the lab: the module, textbook baselines and an oracle that sees the true state.
 
-They keep rule 2 by the plainest reading of it, know nothing of cold servers' budgets and never eject one."""
+The baselines never repeat a query that may have run unless it is redoable. They have no budgets for cold
+servers and eject none. Times are nanoseconds.
+"""
 
 from bisect import bisect
 from collections import deque
@@ -36,28 +38,37 @@
 NEVER = 1 << 62
 
 
-class Held:
-    __slots__ = ("number", "sent", "stop", "suspect", "terms", "tried")
+class PendingQuery:
+    """A query without a final answer.
 
-    def __init__(self, number: int, terms: Offering, stop: int) -> None:
-        self.number, self.terms, self.stop = number, terms, stop
-        self.tried: list[int] = []
-        self.suspect = False
+    `hard_stop` is an instant; `attempted` lists the upstreams of its dispatches in order.
+    """
+
+    __slots__ = ("attempted", "hard_stop", "may_have_run", "number", "sent", "terms")
+
+    def __init__(self, number: int, terms: Offering, hard_stop: int) -> None:
+        self.number, self.terms, self.hard_stop = number, terms, hard_stop
+        self.attempted: list[int] = []
+        self.may_have_run = False
 
 
 class Baseline:
-    """Sends at once to what `pick` says; again, while the rules allow, to another; never bounces before."""
+    """Dispatches each query at once to the result of `select_upstream`.
+
+    A dispatch that failed is followed by another one as long as the rules allow it; only then is the query
+    refused.
+    """
 
     def __init__(
         self, now: int, seed: int, place: Place, offerings: Sequence[Offering], cold: ColdRule,
         permits: Permits, quotas: Sequence[float] = (),
     ) -> None:  # fmt: skip
-        self.chance, self.zone, self.offerings, self.permits = Random(seed), place.zone, offerings, permits
+        self.random, self.zone, self.offerings, self.permits = Random(seed), place.zone, offerings, permits
         self.entries: dict[int, Entry] = {}
-        self.near: list[Entry] = []  # ready, of the own zone; where there is none, all that are
-        self.out: dict[int, int] = {}
-        self.queries: dict[int, Held] = {}
-        self.said: deque[Decision] = deque([("follow",)] if permits.follow else [])
+        self.candidates: list[Entry] = []  # ready, of the own zone; if there is none, all ready
+        self.outstanding: dict[int, int] = {}
+        self.queries: dict[int, PendingQuery] = {}
+        self.decisions: deque[Decision] = deque([("follow",)] if permits.follow else [])
 
     def learn(self, now: int, entries: Sequence[Entry], whole: bool) -> None:
         if whole:
@@ -67,107 +78,116 @@
             if entry.condition == GONE:
                 del self.entries[entry.upstream]
         ready = [entry for entry in self.entries.values() if entry.condition == READY]
-        self.near = [entry for entry in ready if entry.zone == self.zone] or ready
-        self.laid()
+        self.candidates = [entry for entry in ready if entry.zone == self.zone] or ready
+        self.candidates_changed()
 
-    def laid(self) -> None:
-        """The servers to choose from are others now."""
+    def candidates_changed(self) -> None:
+        """Hook: `candidates` has changed."""
 
     def list_failed(self, now: int) -> None:
-        self.said.append(("follow",))
+        self.decisions.append(("follow",))
 
     def take(
         self, now: int, number: int, offering: int, remaining: int, waited: int = 0, party: int = -1,
         again: bool = False,
     ) -> None:  # fmt: skip
-        held = self.queries[number] = Held(number, self.offerings[offering], now + remaining)
-        self.place(now, held)
+        pending = self.queries[number] = PendingQuery(number, self.offerings[offering], now + remaining)
+        self.dispatch_or_refuse(now, pending)
 
-    def may_send(self, now: int, held: Held) -> bool:
-        if now >= held.stop or len(held.tried) >= self.permits.dispatches:
+    def may_send(self, now: int, pending: PendingQuery) -> bool:
+        if now >= pending.hard_stop or len(pending.attempted) >= self.permits.dispatches:
             return False
-        return not held.suspect or held.terms.effect == REDOABLE
+        return not pending.may_have_run or pending.terms.effect == REDOABLE
 
-    def place(self, now: int, held: Held) -> None:
-        upstream = self.pick(now, held) if self.may_send(now, held) else -1
+    def dispatch_or_refuse(self, now: int, pending: PendingQuery) -> None:
+        upstream = self.select_upstream(now, pending) if self.may_send(now, pending) else -1
         if upstream >= 0:
-            held.tried.append(upstream)
-            self.out[upstream] = self.out.get(upstream, 0) + 1
-            self.said.append(("dispatch", held.number, upstream, held.stop - now))
+            pending.attempted.append(upstream)
+            self.outstanding[upstream] = self.outstanding.get(upstream, 0) + 1
+            self.decisions.append(("dispatch", pending.number, upstream, pending.hard_stop - now))
             return
-        self.refuse(held)
+        self.refuse(pending)
 
-    def refuse(self, held: Held) -> None:
-        del self.queries[held.number]
-        terms = held.terms
+    def refuse(self, pending: PendingQuery) -> None:
+        del self.queries[pending.number]
+        terms = pending.terms
         safe = terms.effect == REDOABLE or (terms.effect == LABELLED and terms.group == EVERYWHERE)
-        bounce = safe or not held.suspect
-        self.said.append(
-            ("bounce", held.number, self.permits.come_back // 2) if bounce else ("abort", held.number)
+        bounce = safe or not pending.may_have_run
+        self.decisions.append(
+            ("bounce", pending.number, self.permits.come_back // 2) if bounce else ("abort", pending.number)
         )
 
     def outcome(
         self, now: int, number: int, upstream: int, shot: int, duration: int, outcome: int, ended: bool,
         report: Report | None,
     ) -> None:  # fmt: skip
-        self.out[upstream] = self.out.get(upstream, 1) - 1
+        self.outstanding[upstream] = self.outstanding.get(upstream, 1) - 1
         if outcome == DONE:
-            self.answered(now, upstream, duration)
-        held = self.queries.get(number)
-        if held is None:
+            self.dispatch_done(now, upstream, duration)
+        pending = self.queries.get(number)
+        if pending is None:
             return
         if ended:
             del self.queries[number]
             return
-        held.suspect = held.suspect or outcome not in NEVER_RAN
-        self.place(now, held)
+        pending.may_have_run = pending.may_have_run or outcome not in NEVER_RAN
+        self.dispatch_or_refuse(now, pending)
 
-    def answered(self, now: int, upstream: int, duration: int) -> None:
-        """For those that learn from it."""
+    def dispatch_done(self, now: int, upstream: int, duration: int) -> None:
+        """Hook: a dispatch ended with DONE after `duration` nanoseconds."""
 
     def left(self, now: int, number: int) -> None:
         self.queries.pop(number, None)
 
     def probed(self, now: int, upstream: int, ok: bool, duration: int, report: Report | None) -> None:
-        """Baselines probe nobody."""
+        """Does nothing: baselines send no probes."""
 
     def woken(self, now: int) -> None:
-        """Nor do they wait."""
+        """Does nothing: baselines set no timers."""
 
     def decide(self, now: int) -> Decision | None:
-        return self.said.popleft() if self.said else None
-
-    def others(self, held: Held) -> list[Entry]:
-        if not held.tried:
-            return self.near
-        return [entry for entry in self.near if entry.upstream not in held.tried] or self.near
-
-    def pick(self, now: int, held: Held) -> int:
-        """The upstream, or -1 if there is none."""
+        return self.decisions.popleft() if self.decisions else None
+
+    def untried_candidates(self, pending: PendingQuery) -> list[Entry]:
+        """The candidates without a dispatch of this query; all of them if each has had one."""
+        if not pending.attempted:
+            return self.candidates
+        return [
+            entry for entry in self.candidates if entry.upstream not in pending.attempted
+        ] or self.candidates
+
+    def select_upstream(self, now: int, pending: PendingQuery) -> int:
+        """The upstream for the next dispatch, or -1 if there is none."""
         raise NotImplementedError
 
 
-class AtRandom(Baseline):
-    def pick(self, now: int, held: Held) -> int:
-        those = self.others(held)
-        return those[int(self.chance.random() * len(those))].upstream if those else -1
+class RandomChoice(Baseline):
+    def select_upstream(self, now: int, pending: PendingQuery) -> int:
+        untried = self.untried_candidates(pending)
+        return untried[int(self.random.random() * len(untried))].upstream if untried else -1
 
 
 class RoundRobin(Baseline):
-    """By weight, smoothly: each gains its size, the richest is taken and pays all."""
+    """Smooth weighted round robin.
+
+    On each choice every candidate gains its size as credit; the one with the most credit is chosen and pays
+    the total.
+    """
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         self.credit: dict[int, float] = {}
 
-    def laid(self) -> None:
-        self.credit = {e.upstream: self.credit.get(e.upstream, self.chance.random()) for e in self.near}
+    def candidates_changed(self) -> None:
+        self.credit = {
+            entry.upstream: self.credit.get(entry.upstream, self.random.random()) for entry in self.candidates
+        }
 
-    def pick(self, now: int, held: Held) -> int:
-        if not self.near:
+    def select_upstream(self, now: int, pending: PendingQuery) -> int:
+        if not self.candidates:
             return -1
         total, best, credit = 0.0, -1, self.credit
-        for entry in self.near:
+        for entry in self.candidates:
             total += entry.size
             credit[entry.upstream] += entry.size
             if best < 0 or credit[entry.upstream] > credit[best]:
@@ -177,129 +197,144 @@
 
 
 class LeastOutstanding(Baseline):
-    """Of all in the zone, the one with the fewest of ours out over its size; ties at random."""
+    """Chooses the candidate with the fewest outstanding dispatches per size; ties are broken at random."""
 
-    def pick(self, now: int, held: Held) -> int:
-        least, best, ties, out = 1e18, -1, 0, self.out
-        for entry in self.others(held):
-            load = out.get(entry.upstream, 0) / entry.size
+    def select_upstream(self, now: int, pending: PendingQuery) -> int:
+        least, best, ties, outstanding = 1e18, -1, 0, self.outstanding
+        for entry in self.untried_candidates(pending):
+            load = outstanding.get(entry.upstream, 0) / entry.size
             if load < least:
                 least, best, ties = load, entry.upstream, 1
             elif load == least:
                 ties += 1
-                if self.chance.random() * ties < 1:
+                if self.random.random() * ties < 1:
                     best = entry.upstream
         return best
 
 
 class TwoChoices(Baseline):
-    """Of two at random, the one with fewer of ours out over its size; ties at random."""
+    """Draws two candidates and chooses the one with fewer outstanding dispatches per size."""
 
-    def pick(self, now: int, held: Held) -> int:
-        those = self.others(held)
-        if len(those) < 2:
-            return those[0].upstream if those else -1
-        one, two = self.chance.sample(those, 2)
-        return one.upstream if self.load(one) <= self.load(two) else two.upstream
+    def select_upstream(self, now: int, pending: PendingQuery) -> int:
+        untried = self.untried_candidates(pending)
+        if len(untried) < 2:
+            return untried[0].upstream if untried else -1
+        first, second = self.random.sample(untried, 2)
+        return first.upstream if self.load(first) <= self.load(second) else second.upstream
 
     def load(self, entry: Entry) -> float:
-        return self.out.get(entry.upstream, 0) / entry.size
+        return self.outstanding.get(entry.upstream, 0) / entry.size
 
 
 class RingHash(Baseline):
-    """The next on a ring of a hundred points a server, from a hash of the query's number on."""
+    """Consistent hashing by the query's number; an upstream of size 1 has `POINTS_PER_UPSTREAM` points."""
 
-    POINTS = 100
+    POINTS_PER_UPSTREAM = 100
     SPAN = (1 << 61) - 1
 
-    def laid(self) -> None:
-        points = ((Random(e.upstream * 1000 + n).getrandbits(60), e.upstream)
-                  for e in self.near for n in range(max(1, round(self.POINTS * e.size))))  # fmt: skip
+    def candidates_changed(self) -> None:
+        points = (
+            (Random(entry.upstream * 1000 + n).getrandbits(60), entry.upstream)
+            for entry in self.candidates
+            for n in range(max(1, round(self.POINTS_PER_UPSTREAM * entry.size)))
+        )
         self.ring = sorted(points)
-        self.places = [place for place, _ in self.ring]
+        self.positions = [position for position, _ in self.ring]
 
-    def pick(self, now: int, held: Held) -> int:
-        if not self.near:
+    def select_upstream(self, now: int, pending: PendingQuery) -> int:
+        if not self.candidates:
             return -1
-        start = bisect(self.places, held.number * 0x9E3779B97F4A7C15 % (1 << 64) >> 4)
+        start = bisect(self.positions, pending.number * 0x9E3779B97F4A7C15 % (1 << 64) >> 4)
         for step in range(len(self.ring)):
             upstream = self.ring[(start + step) % len(self.ring)][1]
-            if upstream not in held.tried:
+            if upstream not in pending.attempted:
                 return upstream
         return self.ring[start % len(self.ring)][1]
 
 
-class Seer(Baseline):
-    """Sees the true state of all servers and what is under way to them, and sends each query to where it will
-    be done soonest, within the cold servers' limits; what can't be done in its agreed time is turned away, so
-    that it harms no other. The best that is known, not a proof of the best."""
+class Oracle(Baseline):
+    """Sends each query to the server that will finish it first, by the true state of all servers.
+
+    The state includes the dispatches under way to a server. The limits of cold servers are kept. A query that
+    can't be done in its agreed time is refused, so that it delays no other. This is the best policy known,
+    not a proven optimum.
+    """
 
-    CROWDED = 0.6  # of the agreed time: from here on those that earn least are turned away first
+    # Part of the agreed time that a query may take if its offering earns less than the best one; under load
+    # these queries are refused first.
+    LOW_EARNINGS_FACTOR = 0.6
 
     world: "World"
-    asks: "dict[int, Ask]"
+    held_queries: "dict[int, Ask]"
 
-    def laid(self) -> None:
+    def candidates_changed(self) -> None:
         self.best_earnings = max((terms.earnings for terms in self.offerings), default=1.0)
 
-    def pick(self, now: int, held: Held) -> int:
-        world, ask = self.world, self.asks.get(held.number)
-        if ask is None:
+    def select_upstream(self, now: int, pending: PendingQuery) -> int:
+        world, query = self.world, self.held_queries.get(pending.number)
+        if query is None:
             return -1
-        base, shot = world.network.base, len(held.tried)
-        best, soonest = -1, held.terms.agreed - (now - ask.first)
-        if held.terms.earnings < self.best_earnings:
-            soonest = int(soonest * self.CROWDED)
+        base_delays, dispatch_index = world.network.base, len(pending.attempted)
+        best, shortest = -1, pending.terms.agreed - (now - query.first)
+        if pending.terms.earnings < self.best_earnings:
+            shortest = int(shortest * self.LOW_EARNINGS_FACTOR)
         for server in world.servers:
-            told = self.entries.get(server.number)  # the rule on drains goes by what this sidecar was told
-            if told is None or told.condition != READY or server.condition != READY or not server.reachable():
+            listed = self.entries.get(server.number)  # rule 3 goes by what this sidecar was told
+            if (
+                listed is None
+                or listed.condition != READY
+                or server.condition != READY
+                or not server.reachable()
+            ):
                 continue
-            if server.failing and (ask.luck + shot * GOLDEN) % 1 < server.failing:
+            if server.failing and (query.luck + dispatch_index * GOLDEN) % 1 < server.failing:
                 continue
-            took = base[self.zone][server.zone] + base[server.zone][self.zone]
+            expected_duration = base_delays[self.zone][server.zone] + base_delays[server.zone][self.zone]
             rate = server.rate(now)
             if server.coming >= server.cores:
-                took += (
+                expected_duration += (
                     server.backlog
                     * (server.coming - server.cores + 1)
                     / server.coming
                     / (rate * server.cores)
                 )
-            crowd = 1 + server.crowd_cost * max(0.0, (server.coming + 1) / server.cores - server.crowd_from)
-            took += ask.work * crowd / rate
-            if server.coming >= server.cores + server.room or took >= soonest:
+            slowdown = 1 + server.crowd_cost * max(
+                0.0, (server.coming + 1) / server.cores - server.crowd_from
+            )
+            expected_duration += query.work * slowdown / rate
+            if server.coming >= server.cores + server.room or expected_duration >= shortest:
                 continue
-            if now - server.launched < server.ramp and not world.may_feed(now, server, ask.work):
+            if now - server.launched < server.ramp and not world.may_feed(now, server, query.work):
                 continue
-            best, soonest = server.number, int(took)
+            best, shortest = server.number, int(expected_duration)
         return best
 
 
-def balancer(world: "World", host: "Sidecar", **arguments: Any) -> "Policy":
+def make_balancer(world: "World", sidecar: "Sidecar", **arguments: Any) -> "Policy":
     return Balancer(**arguments)
 
 
-def baseline(kind: type[Baseline]) -> Callable[..., "Policy"]:
-    def make(world: "World", host: "Sidecar", **arguments: Any) -> "Policy":
+def baseline_factory(kind: type[Baseline]) -> Callable[..., "Policy"]:
+    def make(world: "World", sidecar: "Sidecar", **arguments: Any) -> "Policy":
         return kind(**arguments)
 
     return make
 
 
-def seer(world: "World", host: "Sidecar", **arguments: Any) -> "Policy":
-    made = Seer(**arguments)
-    made.world, made.asks = world, host.held
-    return made
+def make_oracle(world: "World", sidecar: "Sidecar", **arguments: Any) -> "Policy":
+    oracle = Oracle(**arguments)
+    oracle.world, oracle.held_queries = world, sidecar.held
+    return oracle
 
 
 POLICIES: dict[str, Callable[..., "Policy"]] = {
-    "module": balancer,
-    "random": baseline(AtRandom),
-    "round_robin": baseline(RoundRobin),
-    "least_outstanding": baseline(LeastOutstanding),
-    "two_choices": baseline(TwoChoices),
-    "ring_hash": baseline(RingHash),
-    "bound": seer,
+    "module": make_balancer,
+    "random": baseline_factory(RandomChoice),
+    "round_robin": baseline_factory(RoundRobin),
+    "least_outstanding": baseline_factory(LeastOutstanding),
+    "two_choices": baseline_factory(TwoChoices),
+    "ring_hash": baseline_factory(RingHash),
+    "bound": make_oracle,
 }
 
 __all__ = ["IRREVERSIBLE", "MILLISECOND", "POLICIES", "Baseline"]
--- a/maddercart/lab/runs.py
+++ b/maddercart/lab/runs.py
@@ -1,4 +1,4 @@
-"""Plays runs, each in a process of its own, side by side; keeps each result as soon as it is there."""
+"""Runs simulations in parallel, each in its own process, and stores each result once it is available."""
 
 import os
 import signal
@@ -14,122 +14,126 @@
 from msgspec import Struct
 
 from maddercart.interface import SECOND
-from maddercart.lab.experiment import Run, Value, code
+from maddercart.lab.experiment import Run, Value, code_digest
 from maddercart.lab.meter import Result
 from maddercart.lab.world import World
 
-LONGEST, DIGITS = 3600 * 10**6, 3  # of the histograms: an hour in microseconds, to three digits
+MAX_LATENCY_US, SIGNIFICANT_DIGITS = 3600 * 10**6, 3  # of the histograms; the maximum is an hour
 
 
-class Kept(Struct, frozen=True):
-    """What is kept of one run, in a file of its own."""
+class StoredRun(Struct, frozen=True):
+    """The stored result of one run; each has a file of its own."""
 
     id: str
     scenario: str
     point: dict[str, Value]
     figures: dict[str, float | int | str]
-    histogram: str  # answers' times in microseconds, HDR's compressed form
-    lines: list[list[list[int]]]
-    notes: list[tuple[float, int, str]]
-    cold: dict[int, list[tuple[float, float]]]
+    histogram: str  # of latencies in microseconds, in HDR's compressed encoding
+    lines: list[list[list[int]]]  # by zone, by column, by step
+    notes: list[tuple[float, int, str]]  # seconds, sidecar, text
+    cold: dict[int, list[tuple[float, float]]]  # by cold server: seconds, part of its limit
     breaches: list[str]
-    failed: str = ""
+    failed: str = ""  # the traceback; empty if the run finished
 
 
-def histogram(took: np.ndarray) -> HdrHistogram:
-    made = HdrHistogram(1, LONGEST, DIGITS)
-    values, counts = np.unique(np.maximum(1, took // 1000), return_counts=True)
+def latency_histogram(durations_ns: np.ndarray) -> HdrHistogram:
+    histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+    values, counts = np.unique(np.maximum(1, durations_ns // 1000), return_counts=True)
     for value, count in zip(values.tolist(), counts.tolist(), strict=True):
-        made.record_value(min(value, LONGEST), count)
-    return made
+        histogram.record_value(min(value, MAX_LATENCY_US), count)
+    return histogram
 
 
-def keep(run: Run, name: str, result: Result) -> Kept:
-    return Kept(
-        name, run.name, run.point, result.figures, histogram(result.took).encode().decode(), result.lines,
-        result.notes[:2000], result.cold, result.breaches,
+def make_stored_run(run: Run, run_id: str, result: Result) -> StoredRun:
+    return StoredRun(
+        run_id, run.name, run.point, result.figures, latency_histogram(result.took).encode().decode(),
+        result.lines, result.notes[:2000], result.cold, result.breaches,
     )  # fmt: skip
 
 
-def play(run: Run, name: str) -> Kept:
-    """In a process of its own: its memory figure is this run's alone."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent says when it is over
+def simulate(run: Run, run_id: str) -> StoredRun:
+    """Simulates one run. Each run needs a new process, since its memory figure is that of the process."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent process handles it
     try:
-        return keep(run, name, World(run.scenario, run.seed, run.policy).play())
+        return make_stored_run(run, run_id, World(run.scenario, run.seed, run.policy).play())
     except Exception:
-        return Kept(name, run.name, run.point, {"policy": run.policy, "seed": run.seed}, "", [], [], {}, [],
-                    failed=traceback.format_exc())  # fmt: skip
+        return StoredRun(run_id, run.name, run.point, {"policy": run.policy, "seed": run.seed},
+                         "", [], [], {}, [], failed=traceback.format_exc())  # fmt: skip
 
 
-def write_whole(path: Path, content: bytes) -> None:
-    """At no time is there half a file of this name."""
-    beside = path.with_suffix(f".{os.getpid()}.part")
-    beside.write_bytes(content)
-    beside.replace(path)
+def write_atomically(path: Path, content: bytes) -> None:
+    """Replaces a file atomically, so that a reader never sees a part of it."""
+    temporary = path.with_suffix(f".{os.getpid()}.part")
+    temporary.write_bytes(content)
+    temporary.replace(path)
 
 
-def read_kept(path: Path) -> Kept | None:
+def read_stored_run(path: Path) -> StoredRun | None:
     try:
-        return msgspec.msgpack.decode(path.read_bytes(), type=Kept)
+        return msgspec.msgpack.decode(path.read_bytes(), type=StoredRun)
     except (OSError, msgspec.DecodeError):
         return None
 
 
-def found(folder: Path, run: Run) -> Kept | None:
-    kept = read_kept(folder / "runs" / f"{run.id()}.msgpack")
-    return kept if kept is not None and not kept.failed else None
+def load_finished(folder: Path, run: Run) -> StoredRun | None:
+    """The stored result of a run, or None if there is none, it is unreadable or the run failed."""
+    stored = read_stored_run(folder / "runs" / f"{run.id()}.msgpack")
+    return stored if stored is not None and not stored.failed else None
 
 
-def sweep(
+def run_all(
     runs: Sequence[Run],
     folder: Path,
     jobs: int,
-    done: Callable[[Kept, bool], None] = lambda *_: None,
-) -> Iterator[Kept]:
-    """Plays what is not kept in the folder yet; `done` hears of each, and whether it was played now. The long
-    ones first, so that no core waits for the last."""
+    on_result: Callable[[StoredRun, bool], None] = lambda *_: None,
+) -> Iterator[StoredRun]:
+    """Yields the result of each run; missing ones are simulated by `jobs` processes.
+
+    Expensive runs start first, so that no core idles until the last one ends. `on_result` is called with each
+    result and whether it was simulated now.
+    """
     (folder / "runs").mkdir(parents=True, exist_ok=True)
-    missing: list[Run] = []
+    pending: list[Run] = []
     for run in runs:
-        if (kept := found(folder, run)) is not None:
-            done(kept, False)
-            yield kept
+        if (stored := load_finished(folder, run)) is not None:
+            on_result(stored, False)
+            yield stored
         else:
-            missing.append(run)
-    missing.sort(key=lambda run: -weight(run))
+            pending.append(run)
+    pending.sort(key=lambda run: -estimated_cost(run))
     context = get_context("forkserver")
     context.set_forkserver_preload(["maddercart.lab.runs"])
     with ProcessPoolExecutor(max_workers=jobs, mp_context=context, max_tasks_per_child=1) as pool:
         try:
-            out: set[Future[Kept]] = set()
-            rest = iter(missing)
+            running: set[Future[StoredRun]] = set()
+            remaining = iter(pending)
             while True:
-                for run in itertools_take(rest, jobs * 2 - len(out)):
-                    out.add(pool.submit(play, run, run.id()))
-                if not out:
+                for run in take(remaining, jobs * 2 - len(running)):
+                    running.add(pool.submit(simulate, run, run.id()))
+                if not running:
                     return
-                ended, out = wait(out, return_when=FIRST_COMPLETED)
-                for future in ended:
-                    kept = future.result()
-                    write_whole(folder / "runs" / f"{kept.id}.msgpack", msgspec.msgpack.encode(kept))
-                    done(kept, True)
-                    yield kept
-        except BaseException:  # interrupted: what is out is lost, what is kept stays
+                finished, running = wait(running, return_when=FIRST_COMPLETED)
+                for future in finished:
+                    stored = future.result()
+                    write_atomically(folder / "runs" / f"{stored.id}.msgpack", msgspec.msgpack.encode(stored))
+                    on_result(stored, True)
+                    yield stored
+        except BaseException:  # interrupted: running simulations are lost, stored results stay
             for process in list((pool._processes or {}).values()):
                 process.terminate()
             pool.shutdown(wait=False, cancel_futures=True)
             raise
 
 
-def itertools_take(rest: Iterator[Run], count: int) -> Iterator[Run]:
+def take(remaining: Iterator[Run], count: int) -> Iterator[Run]:
     for _ in range(max(0, count)):
-        if (run := next(rest, None)) is None:
+        if (run := next(remaining, None)) is None:
             return
         yield run
 
 
-def weight(run: Run) -> float:
-    """About how long it takes beside others: only for their order."""
+def estimated_cost(run: Run) -> float:
+    """Rough cost relative to other runs; only used to order them."""
     rate = sum(max(flow.rate, flow.to) for flow in run.scenario.flows)
     servers = sum(zone.servers for zone in run.scenario.zones)
     return (
@@ -139,4 +143,14 @@
     )
 
 
-__all__ = ["SECOND", "Kept", "code", "found", "histogram", "keep", "play", "read_kept", "sweep"]
+__all__ = [
+    "SECOND",
+    "StoredRun",
+    "code_digest",
+    "latency_histogram",
+    "load_finished",
+    "make_stored_run",
+    "read_stored_run",
+    "run_all",
+    "simulate",
+]
--- a/tests/lab/test_referee.py
+++ b/tests/lab/test_referee.py
@@ -1,4 +1,4 @@
-"""The referee finds each broken rule by name, and is silent on the module."""
+"""The referee reports each kind of rule breach, and none for the module."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,110 +8,110 @@
 import pytest
 
 from maddercart.interface import DONE, ERROR, READY, SECOND, Decision, Entry
-from maddercart.lab import runs as players
+from maddercart.lab import runs as simulations
 from maddercart.lab import scenario as scenarios
-from maddercart.lab.experiment import Run, change
-from maddercart.lab.policies import AtRandom, Held
+from maddercart.lab.experiment import Run, set_value
+from maddercart.lab.policies import PendingQuery, RandomChoice
 from maddercart.lab.referee import Referee, Terms
 from maddercart.lab.world import World
 from maddercart.policy.balancer import Balancer
 from tests.lab.days import ONCE, POST, day
 
 
-class Broken:
-    """The module, with what it hears or says changed on the way."""
+class FaultyBalancer:
+    """A Balancer whose inputs or decisions are altered by the subclasses."""
 
     def __init__(self, **arguments: Any) -> None:
-        self.inner = Balancer(**arguments)
-        self.more: deque[Decision] = deque()
+        self.balancer = Balancer(**arguments)
+        self.injected: deque[Decision] = deque()
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self.inner, name)
+        return getattr(self.balancer, name)
 
     def decide(self, now: int) -> Decision | None:
-        if self.more:
-            return self.more.popleft()
-        decision = self.inner.decide(now)
-        return self.change(now, decision) if decision is not None else None
+        if self.injected:
+            return self.injected.popleft()
+        decision = self.balancer.decide(now)
+        return self.alter(now, decision) if decision is not None else None
 
-    def change(self, now: int, decision: Decision) -> Decision | None:
+    def alter(self, now: int, decision: Decision) -> Decision | None:
         return decision
 
 
-class Twice(Broken):
-    """Sends each query to a second server at once."""
+class DispatchingTwice(FaultyBalancer):
+    """Dispatches each query to a second server at once."""
 
-    def change(self, now: int, decision: Decision) -> Decision | None:
+    def alter(self, now: int, decision: Decision) -> Decision | None:
         if decision[0] == "dispatch":
-            self.more.append(("dispatch", decision[1], (int(decision[2]) + 1) % 8, decision[3]))
+            self.injected.append(("dispatch", decision[1], (int(decision[2]) + 1) % 8, decision[3]))
         return decision
 
 
-class Again(Broken):
+class AnsweringTwice(FaultyBalancer):
     """Answers a query a second time."""
 
-    def change(self, now: int, decision: Decision) -> Decision | None:
+    def alter(self, now: int, decision: Decision) -> Decision | None:
         if decision[0] in ("bounce", "abort"):
-            self.more.append(("abort", decision[1]))
+            self.injected.append(("abort", decision[1]))
         return decision
 
 
-class AfterAnswer(Broken):
-    """Sends a query that it has just turned away."""
+class DispatchingAfterAnswer(FaultyBalancer):
+    """Dispatches a query that it has just bounced."""
 
-    def change(self, now: int, decision: Decision) -> Decision | None:
+    def alter(self, now: int, decision: Decision) -> Decision | None:
         if decision[0] == "bounce":
-            self.more.append(("dispatch", decision[1], 0, SECOND))
+            self.injected.append(("dispatch", decision[1], 0, SECOND))
         return decision
 
 
-class Silent(Broken):
-    """Never says that it has given up."""
+class NeverRefusing(FaultyBalancer):
+    """Withholds each final bounce and abort."""
 
-    def change(self, now: int, decision: Decision) -> Decision | None:
+    def alter(self, now: int, decision: Decision) -> Decision | None:
         return self.decide(now) if decision[0] in ("bounce", "abort") else decision
 
 
-class Deaf(Broken):
-    """Takes what drains or is gone for ready."""
+class IgnoringDrains(FaultyBalancer):
+    """Treats servers that drain or are gone as ready."""
 
     def learn(self, now: int, entries: list[Entry], whole: bool) -> None:
-        self.inner.learn(now, [entry._replace(condition=READY) for entry in entries], whole)
+        self.balancer.learn(now, [entry._replace(condition=READY) for entry in entries], whole)
 
 
-class Bouncer(AtRandom):
-    """Calls harmless what may have run."""
+class AlwaysBouncing(RandomChoice):
+    """Bounces queries that may have run."""
 
-    def refuse(self, held: Held) -> None:
-        del self.queries[held.number]
-        self.said.append(("bounce", held.number, 0))
+    def refuse(self, pending: PendingQuery) -> None:
+        del self.queries[pending.number]
+        self.decisions.append(("bounce", pending.number, 0))
 
 
-class Repeater(AtRandom):
-    """Sends all again, whatever became of it."""
+class AlwaysRetrying(RandomChoice):
+    """Repeats each failed query, whether or not it may have run."""
 
-    def may_send(self, now: int, held: Held) -> bool:
-        return now < held.stop and len(held.tried) < 3
+    def may_send(self, now: int, pending: PendingQuery) -> bool:
+        return now < pending.hard_stop and len(pending.attempted) < 3
 
 
-class Slow(AtRandom):
-    """Refuses what it can't place only after its hard stop."""
+class RefusingTooLate(RandomChoice):
+    """Aborts each query only after its hard stop."""
 
     def take(self, now: int, number: int, offering: int, remaining: int, *rest: Any) -> None:
-        self.queries[number] = Held(number, self.offerings[offering], now + remaining)
-        self.said.append(("wake", remaining + 1000))
+        self.queries[number] = PendingQuery(number, self.offerings[offering], now + remaining)
+        self.decisions.append(("wake", remaining + 1000))
 
     def woken(self, now: int) -> None:
-        for number in [number for number, held in self.queries.items() if now > held.stop]:
+        for number in [number for number, pending in self.queries.items() if now > pending.hard_stop]:
             del self.queries[number]
-            self.said.append(("abort", number))
+            self.decisions.append(("abort", number))
 
 
-class Flooder(AtRandom):
-    """Prefers what has started last."""
+class PreferringNewest(RandomChoice):
+    """Sends everything to the server that was started last."""
 
-    def pick(self, now: int, held: Held) -> int:
-        return max(self.near, key=lambda entry: entry.launched).upstream
+    def select_upstream(self, now: int, pending: PendingQuery) -> int:
+        return max(self.candidates, key=lambda entry: entry.launched).upstream
 
 
 LOST = [{"kind": "zone_lost", "zone": "a", "start": 2.0, "end": 8.0}]
@@ -120,84 +120,90 @@
 
 
 @pytest.mark.parametrize(
-    ("policy", "rule", "words", "troubles", "offerings"),
+    ("policy", "rule", "message", "troubles", "offerings"),
     [
-        (Twice, 2, "took effect at server", [], [ONCE]),
-        (Twice, 2, "it is irreversible", [], [ONCE]),
-        (Again, 1, "got a second answer, abort at", LOST, [ONCE]),
-        (AfterAnswer, 1, "after its answer, bounce at", LOST, [ONCE]),
-        (Silent, 1, "got no answer by its hard stop", LOST, [ONCE]),
-        (Slow, 1, "after its hard stop at", [], [ONCE]),
-        (Deaf, 3, "that it drains or is gone", DEPLOY, [ONCE]),
-        (Bouncer, 2, "was bounced at", FAILING, [ONCE]),
-        (Repeater, 2, "is past its window", FAILING, [POST | {"window": 0.001}]),
-        (Repeater, 2, "leaves the group that drops its repeats", FAILING, [POST | {"group": "cell"}]),
-        (Flooder, 4, "of the limit", DEPLOY, [{"name": "look"}]),
+        (DispatchingTwice, 2, "took effect at server", [], [ONCE]),
+        (DispatchingTwice, 2, "it is irreversible", [], [ONCE]),
+        (AnsweringTwice, 1, "got a second answer, abort at", LOST, [ONCE]),
+        (DispatchingAfterAnswer, 1, "after its answer, bounce at", LOST, [ONCE]),
+        (NeverRefusing, 1, "got no answer by its hard stop", LOST, [ONCE]),
+        (RefusingTooLate, 1, "after its hard stop at", [], [ONCE]),
+        (IgnoringDrains, 3, "that it drains or is gone", DEPLOY, [ONCE]),
+        (AlwaysBouncing, 2, "was bounced at", FAILING, [ONCE]),
+        (AlwaysRetrying, 2, "is past its window", FAILING, [POST | {"window": 0.001}]),
+        (AlwaysRetrying, 2, "leaves the group that drops its repeats", FAILING, [POST | {"group": "cell"}]),
+        (PreferringNewest, 4, "of the limit", DEPLOY, [{"name": "look"}]),
     ],
 )  # fmt: skip
-def test_a_policy_that_breaks_a_rule_is_caught_by_name(
-    policy: Callable[..., Any], rule: int, words: str, troubles: list, offerings: list
+def test_faulty_policies_are_reported_with_rule_query_and_instant(
+    policy: Callable[..., Any], rule: int, message: str, troubles: list, offerings: list
 ) -> None:
-    """Names the query, the server and the instants; the clients give up late enough to see all of it."""
+    """Each faulty policy breaks one rule; the message names the query, the server and the instant.
+
+    The clients give up late enough for each breach to show.
+    """
     scenario = day(troubles=troubles, offerings=offerings, zones=[
         {"name": "a", "servers": 4, "sidecars": 4, "cells": 2}, {"name": "b", "servers": 4, "sidecars": 4}],
-        flows=[{"rate": 60.0 if policy is Slow else 260.0}])  # fmt: skip
+        flows=[{"rate": 60.0 if policy is RefusingTooLate else 260.0}])  # fmt: skip
     world = World(scenario, 1, make=lambda world, host, **arguments: policy(**arguments))
     result = world.play()
-    found = [breach for breach in world.referee.breaches if breach.rule == rule and words in breach.text]
+    found = [breach for breach in world.referee.breaches if breach.rule == rule and message in breach.text]
     assert found, result.breaches[:3]
     assert "query " in found[0].text and " s" in found[0].text
     assert result.figures["void"]
 
 
-def quarter(name: str) -> Run:
-    """A shipped scenario at a quarter of its size, so that CI can play all of them."""
-    tree, where = scenarios.read_tree(name)
+def quarter_size(name: str) -> Run:
+    """A shipped scenario at a quarter of its size, so that CI can simulate all of them."""
+    tree, location = scenarios.read_tree(name)
     for n, flow in enumerate(tree["flows"]):
         for key in ("rate", "to"):
-            change(tree, f"flows.{n}.{key}", flow.get(key, 0.0) / 4, where)
+            set_value(tree, f"flows.{n}.{key}", flow.get(key, 0.0) / 4, location)
     for n, zone in enumerate(tree["zones"]):
-        change(tree, f"zones.{n}.servers", zone["servers"] // 4, where)
-    return Run(name, scenarios.convert(tree, where), {}, "module", 7)
+        set_value(tree, f"zones.{n}.servers", zone["servers"] // 4, location)
+    return Run(name, scenarios.convert(tree, location), {}, "module", 7)
 
 
-def test_the_referee_is_silent_on_the_module_in_all_shipped_scenarios(tmp_path: Any) -> None:
-    """The module keeps the four rules; a scenario that breaks one is a finding, in the module or here."""
-    runs = [quarter(name) for name in scenarios.shipped()]
-    kept = list(players.sweep(runs, tmp_path, 4))
-    assert len(kept) == len(runs) >= 12
-    assert {one.scenario: one.failed or one.breaches[:2] for one in kept if one.failed or one.breaches} == {}
+def test_module_breaks_no_rule_in_any_shipped_scenario(tmp_path: Any) -> None:
+    """A breach here is a fault in the module or in the referee."""
+    runs = [quarter_size(name) for name in scenarios.shipped()]
+    stored_runs = list(simulations.run_all(runs, tmp_path, 4))
+    assert len(stored_runs) == len(runs) >= 12
+    assert {
+        run.scenario: run.failed or run.breaches[:2] for run in stored_runs if run.failed or run.breaches
+    } == {}
 
 
-def test_a_policy_that_sees_everything_keeps_the_rules_and_is_hardly_beaten() -> None:
+def test_oracle_keeps_the_rules_and_earns_more_than_module_and_random() -> None:
     scenario = day(troubles=[*LOST, {"kind": "slow", "factor": 5.0, "share": 0.5, "zone": "b", "start": 2.0}])
     shares = {}
     for policy in ("module", "random", "bound"):
         figures = World(scenario, 1, policy).play().figures
         assert policy == "random" or not figures["void"]
-        # Guards against a bound that breaks a rule: it sent to what was ready again, but told as draining.
-        late = day(troubles=DEPLOY, list={"late": 2.5})
-        assert policy != "bound" or not World(late, 1, policy).play().figures["void"]
+        # Guards against a rule 3 breach of the oracle: it sent to servers that were ready again although its
+        # sidecar had been told that they drain.
+        late_list = day(troubles=DEPLOY, list={"late": 2.5})
+        assert policy != "bound" or not World(late_list, 1, policy).play().figures["void"]
         shares[policy] = float(figures["share"])
     assert shares["random"] < shares["module"] < shares["bound"], shares
 
 
-def test_the_budget_of_a_cold_server_agrees_with_a_plain_count() -> None:
-    """Beside the running sum a plain one, over every window that ends at an arrival."""
-    chance, window = Random(4), SECOND
+def test_cold_server_limit_matches_a_direct_sum_over_each_window() -> None:
+    """Compares the running sum with a direct one, over every window that ends at an arrival."""
+    random, window = Random(4), SECOND
     referee = Referee([Terms(0, 0, 0)], [(0, 0)], 0, 3.0, window)
-    came: list[tuple[int, float]] = []
-    now, plain = 0, 0
+    arrivals: list[tuple[int, float]] = []
+    now, expected_breaches = 0, 0
     for number in range(2000):
-        now += int(chance.expovariate(1 / 20e6))
-        came.append((now, chance.uniform(1e6, 90e6)))
-        inside = [work for at, work in came if at > now - window]
-        plain += len(inside) > 1 and sum(inside) > 3.0 * 0.9 * SECOND
-        referee.came_cold(now, 0, came[-1][1], 0.9 * SECOND, number)
-    assert referee.count == plain > 10
+        now += int(random.expovariate(1 / 20e6))
+        arrivals.append((now, random.uniform(1e6, 90e6)))
+        inside = [work for at, work in arrivals if at > now - window]
+        expected_breaches += len(inside) > 1 and sum(inside) > 3.0 * 0.9 * SECOND
+        referee.came_cold(now, 0, arrivals[-1][1], 0.9 * SECOND, number)
+    assert referee.count == expected_breaches > 10
 
 
-def test_what_stands_still_or_restarts_is_excused_and_nothing_else() -> None:
+def test_missing_answer_is_excused_only_by_a_pause_or_restart_of_the_same_sidecar() -> None:
     for excuse in (None, "still", "restart", "other"):
         referee = Referee([Terms(2, 0, 0)], [(0, 0)], 0, 3.0, SECOND)
         referee.taken(0, 1, 1, 0, SECOND, sidecar=5)
@@ -211,7 +217,7 @@
         assert referee.count == (excuse in (None, "other")), excuse
 
 
-def test_a_labelled_query_bounced_after_it_may_have_run_needs_the_group_of_all() -> None:
+def test_bouncing_a_labelled_query_that_may_have_run_requires_the_group_everywhere() -> None:
     for group, broken in ((0, 0), (1, 1), (2, 1)):
         referee = Referee([Terms(1, group, SECOND)], [(0, 0), (0, 1)], 0, 3.0, SECOND)
         referee.taken(0, 1, 1, 0, SECOND, 0)
