--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -33,7 +33,7 @@
     def arrive(n: int) -> None:
         nonlocal busy
         if n + 1 < QUERIES:
-            engine.at(engine.now + interarrival_ns[n + 1], arrive, n + 1)
+            engine.schedule(engine.now + interarrival_ns[n + 1], arrive, n + 1)
         queue.append(engine.now)
         if not busy:
             busy = True
@@ -45,7 +45,7 @@
         nonlocal wait_ns, served
         wait_ns += engine.now - queue.popleft()
         served += 1
-        engine.at(engine.now + service_ns[served - 1], finish, None)
+        engine.schedule(engine.now + service_ns[served - 1], finish, None)
 
     def finish(_: None) -> None:
         nonlocal busy
@@ -54,7 +54,7 @@
         else:
             busy = False
 
-    engine.at(interarrival_ns[0], arrive, 0)
+    engine.schedule(interarrival_ns[0], arrive, 0)
     engine.run(1 << 62)
     return wait_ns
 
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -13,11 +13,11 @@
 from typing import Any
 
 from maddercart.http.values import JsonSplitter
-from maddercart.interface import SECOND, ColdRule, Offering, Permits, Place
-from maddercart.messages.upstreams import read_listing
+from maddercart.interface import SECOND, BalancerOptions, Offering, SidecarPosition, SlowStartRule
+from maddercart.messages.upstreams import decode_listing
 from maddercart.net.loop import Loop
-from maddercart.sidecar.backing import Backing
-from maddercart.sidecar.clock import Clock
+from maddercart.sidecar.backing import UpstreamPool
+from maddercart.sidecar.clock import MonotonicClock
 
 RUNS = 15
 
@@ -32,19 +32,20 @@
     ]  # fmt: skip
 
 
-def make_backing() -> Backing:
+def make_backing() -> UpstreamPool:
     arguments = {
-        "place": Place(3, 200, 0, 2), "offerings": [Offering(0, 0, 0, SECOND // 2, 1.0, 0.0)],
-        "cold": ColdRule(0.2, 10 * SECOND, 3.0, SECOND), "permits": Permits(3, True, False, SECOND, False),
+        "place": SidecarPosition(3, 200, 0, 2), "offerings": [Offering(0, 0, 0, SECOND // 2, 1.0, 0.0)],
+        "cold": SlowStartRule(0.2, 10 * SECOND, 3.0, SECOND),
+        "permits": BalancerOptions(3, True, False, SECOND, False),
     }  # fmt: skip
-    clock = Clock()
-    return Backing(Loop(clock), clock, 1, ["a", "b"], ["m"], arguments, lambda: None)
+    clock = MonotonicClock()
+    return UpstreamPool(Loop(clock), clock, 1, ["a", "b"], ["m"], arguments, lambda: None)
 
 
-def learn(backing: Backing, data: bytes) -> float:
+def learn(backing: UpstreamPool, data: bytes) -> float:
     """Returns the CPU time in milliseconds."""
     started_at = time.process_time_ns()
-    backing.learn([read_listing(value) for value in JsonSplitter(1 << 22).feed(data)])
+    backing.apply_listings([decode_listing(value) for value in JsonSplitter(1 << 22).feed(data)])
     return (time.process_time_ns() - started_at) / 1e6
 
 
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -14,8 +14,8 @@
 import time
 from pathlib import Path
 
-from maddercart.rig.demo import ports, process, wait_for
-from maddercart.rig.load import Asked, Shape, play
+from maddercart.rig.demo import free_ports, run_command, wait_until_ready
+from maddercart.rig.load import LoadShape, RequestTemplate, run_load
 
 RATE, SECONDS = 400.0, float(sys.argv[1]) if len(sys.argv) > 1 else 6.0
 OPEN_SOCKETS: list[socket.socket] = []  # kept open until the process exits
@@ -73,22 +73,24 @@
     return text
 
 
-def measure(name: str, arguments: list[str], port: int, asked: Asked) -> None:
-    with process(*arguments) as run:
-        wait_for(port, "/-/ready")
-        play(("127.0.0.1", port), Shape(rate=RATE, seconds=1.0), asked)  # warm-up
+def measure(name: str, arguments: list[str], port: int, asked: RequestTemplate) -> None:
+    with run_command(*arguments) as run:
+        wait_until_ready(port, "/-/ready")
+        run_load(("127.0.0.1", port), LoadShape(rate=RATE, duration_seconds=1.0), asked)  # warm-up
         before = cpu_seconds(run.pid)
-        outcome = play(("127.0.0.1", port), Shape(rate=RATE, seconds=SECONDS, seed=2), asked, "m")
-        per_query_ms = (cpu_seconds(run.pid) - before) / outcome.fates.total() * 1e3
-        table = outcome.table()
-        fates, median_ms = outcome.fates, table["p50_ms"]
+        outcome = run_load(
+            ("127.0.0.1", port), LoadShape(rate=RATE, duration_seconds=SECONDS, seed=2), asked, "m"
+        )
+        per_query_ms = (cpu_seconds(run.pid) - before) / outcome.fate_counts.total() * 1e3
+        table = outcome.figures()
+        fates, median_ms = outcome.fate_counts, table["p50_ms"]
         summary = f"done {fates['done']} of {fates.total()}  p50 {median_ms:.1f} ms"
         print(f"{name:34} {per_query_ms:7.3f} ms of CPU per query  {resident_mb(run.pid):6.1f} MB  {summary}")
 
 
 def main() -> None:
-    port, *upstream_ports = ports(9)
-    with process(
+    port, *upstream_ports = free_ports(9)
+    with run_command(
         "standin",
         *[f"127.0.0.1:{upstream_port}" for upstream_port in upstream_ports],
         "--work-ms",
@@ -97,19 +99,22 @@
         "4",
     ):
         for upstream_port in upstream_ports:
-            wait_for(upstream_port, "/-/counts")
+            wait_until_ready(upstream_port, "/-/counts")
         with tempfile.TemporaryDirectory() as folder:
             config = Path(folder) / "config.json"
             config.write_text(sidecar_config(port, upstream_ports))
             headers = (("X-Qos", "look"), ("X-Expires-In", "900m"), ("X-Trace-Id", "{n}"))
-            asked = Asked(path="/look?sid={n}", headers=headers)
+            asked = RequestTemplate(path="/look?sid={n}", headers=headers)
             measure("sidecar", ["serve", "--config", str(config)], port, asked)
             for routes, pools in ((1, 1), (10, 1), (1000, 1), (1000, 50)):
                 file = Path(folder) / f"{routes}-{pools}.toml"
                 file.write_text(gateway_config(port, upstream_ports, routes, pools))
                 arguments = ["gateway", "serve", str(file)]
                 measure(
-                    f"gateway, {routes} routes, {pools} pools", arguments, port, Asked(path="/look?sid={n}")
+                    f"gateway, {routes} routes, {pools} pools",
+                    arguments,
+                    port,
+                    RequestTemplate(path="/look?sid={n}"),
                 )
                 time.sleep(0.2)
 
--- a/benchmarks/reload.py
+++ b/benchmarks/reload.py
@@ -14,9 +14,9 @@
 import time
 from pathlib import Path
 
-from maddercart.rig.demo import ports, process, wait_for
-from maddercart.rig.load import Asked, Shape, play
-from maddercart.rig.outcomes import twice
+from maddercart.rig.demo import free_ports, run_command, wait_until_ready
+from maddercart.rig.load import LoadShape, RequestTemplate, run_load
+from maddercart.rig.outcomes import repeated_effects
 
 ROUTES, POOLS, RELOADS = 1000, 50, 10
 
@@ -37,17 +37,17 @@
 
 
 def main() -> None:
-    port, *upstream_ports = ports(5)
+    port, *upstream_ports = free_ports(5)
     log_lines: list[str] = []
     addresses = [f"127.0.0.1:{upstream_port}" for upstream_port in upstream_ports]
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "gateway.toml"
         file.write_text(gateway_config(port, upstream_ports, 0))
-        upstreams = process("standin", *addresses, "--work-ms", "4", "--cores", "8")
-        with upstreams, process("gateway", "serve", str(file), told=log_lines.append) as gateway:
+        upstreams = run_command("standin", *addresses, "--work-ms", "4", "--cores", "8")
+        with upstreams, run_command("gateway", "serve", str(file), on_log_line=log_lines.append) as gateway:
             for upstream_port in upstream_ports:
-                wait_for(upstream_port, "/-/counts")
-            wait_for(port, "/-/ready")
+                wait_until_ready(upstream_port, "/-/counts")
+            wait_until_ready(port, "/-/ready")
 
             def reload() -> None:
                 for version in range(1, RELOADS + 1):
@@ -56,11 +56,20 @@
                     os.kill(gateway.pid, signal.SIGHUP)
 
             threading.Thread(target=reload, daemon=True).start()
-            outcome = play(("127.0.0.1", port), Shape(rate=200.0, seconds=12.0), Asked(path="/accounts/{n}"))
-            duplicated = twice(outcome, [("127.0.0.1", upstream_port) for upstream_port in upstream_ports])
+            outcome = run_load(
+                ("127.0.0.1", port),
+                LoadShape(rate=200.0, duration_seconds=12.0),
+                RequestTemplate(path="/accounts/{n}"),
+            )
+            duplicated = repeated_effects(
+                outcome, [("127.0.0.1", upstream_port) for upstream_port in upstream_ports]
+            )
     late_ms = [int(found[1]) for line in log_lines if (found := re.search(r"stood still.* ms=(\d+)", line))]
     slowest_ms = outcome.histogram.get_max_value() / 1e3
-    print(f"{outcome.fates.total()} queries: {dict(outcome.fates)}, statuses {dict(outcome.statuses)}")
+    print(
+        f"{outcome.fate_counts.total()} queries: {dict(outcome.fate_counts)}, "
+        f"statuses {dict(outcome.status_counts)}"
+    )
     print(
         f"executed twice: {len(duplicated)}; reloads: {sum('file read again' in line for line in log_lines)}"
     )
--- a/maddercart/cli.py
+++ b/maddercart/cli.py
@@ -12,8 +12,8 @@
 from maddercart.lab.commands import lab
 from maddercart.rig.commands import register
 from maddercart.sidecar import logs
-from maddercart.sidecar.configuration import usable_file
-from maddercart.sidecar.node import Node
+from maddercart.sidecar.configuration import load_configuration
+from maddercart.sidecar.node import SidecarNode
 
 app = typer.Typer(
     add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False,
@@ -39,13 +39,13 @@
     """Runs the sidecar until SIGTERM; SIGHUP reloads the configuration."""
     log_queue, code = logs.start(level), 0
     try:
-        loaded = usable_file(config)
+        loaded = load_configuration(config)
     except (OSError, ValueError) as error:
         log.error("configuration can't be used", extra={"file": str(config), "reason": str(error)})
         code = EXIT_INVALID_CONFIG
     else:
         try:
-            Node(loaded, lambda: usable_file(config)).run()
+            SidecarNode(loaded, lambda: load_configuration(config)).run()
         except Exception:
             log.exception("sidecar failed")
             code = 1
@@ -57,7 +57,7 @@
 def check(config: ConfigFile = None) -> None:
     """Checks whether a configuration can be used."""
     try:
-        loaded = usable_file(config)
+        loaded = load_configuration(config)
     except (OSError, ValueError) as error:
         typer.echo(f"{config}: {error}", err=True)
         raise typer.Exit(EXIT_INVALID_CONFIG) from error
--- a/maddercart/gateway/check.py
+++ b/maddercart/gateway/check.py
@@ -17,7 +17,7 @@
 )
 from maddercart.gateway.routes import RouteTable, path_segments
 from maddercart.gateway.targets import BadTarget, normalize_path
-from maddercart.net.sockets import address
+from maddercart.net.sockets import parse_address
 
 Problems = list[tuple[str, str]]  # key, reason
 TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
@@ -100,7 +100,7 @@
 def check_address(key: str, text: str, dialled: bool = False) -> Problems:
     """Problems of an IPv4 address with port; port 0 is accepted unless the address is `dialled`."""
     try:
-        host, _ = address(text)
+        host, _ = parse_address(text)
         ipaddress.IPv4Address(host)  # host names are not accepted, since resolving them would block the loop
     except ValueError:
         return [(key, f"{text!r} is not an IPv4 address with a port")]
--- a/maddercart/gateway/front.py
+++ b/maddercart/gateway/front.py
@@ -1,4 +1,5 @@
-"""The HTTP front: matches a request to a route, enforces the route's limits and hands a query to a pool."""
+"""The HTTP request handler: matches a request to a route, enforces the route's limits and hands a query to a
+pool."""
 
 import logging
 import socket
@@ -16,10 +17,10 @@
 from maddercart.gateway.targets import BadTarget, RequestTarget, parse_target
 from maddercart.http.application import Request
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.messages.answer import Reply
-from maddercart.messages.headers import Headers, passed_on
+from maddercart.messages.answer import ClientResponse
+from maddercart.messages.headers import Headers, forwarded_headers
 from maddercart.messages.query import Query
-from maddercart.sidecar.fronts import Opened, Unfit
+from maddercart.sidecar.fronts import AcceptedQuery, RejectedRequest
 
 log = logging.getLogger(__name__)
 
@@ -40,14 +41,14 @@
     granted_retries: int = 0  # dispatches after the first one, taken from the pool's retry budget
     accepted_at: int = 0
 
-    def headers_for(self, wait: int) -> Headers:
+    def headers_for(self, timeout: int) -> Headers:
         """The headers of a dispatch, without X-Expires-In: a generic upstream does not read the deadline."""
         lengths = [(b"Content-Length", b"%d" % len(self.body))] if self.body or self.method != b"GET" else []
         return [*self.headers, *lengths]
 
-    def over(self, dispatches: int, how: str) -> None:
+    def on_finished(self, dispatches: int, ending: str) -> None:
         if self.on_end is not None:
-            self.on_end(self, dispatches, how)
+            self.on_end(self, dispatches, ending)
             self.on_end = None
 
 
@@ -134,42 +135,49 @@
         return hashed < self.log_config.access * (1 << 32)
 
 
-class HttpFront:
-    """The front of one listener; an empty `ready_path` serves no readiness endpoint."""
+class HttpRequestHandler:
+    """The request handler of one listener; an empty `ready_path` serves no readiness endpoint."""
 
     def __init__(self, name: str, ready_path: str, routing: Routing, is_ready: Callable[[], bool]) -> None:
         self.name, self.ready_path, self.routing, self.is_ready = name, ready_path.encode(), routing, is_ready
 
-    def receive(self, request: Request, sock: socket.socket, stopping: bool) -> Opened | Reply | Unfit:
-        """Answers a readiness check, or routes the request; returns `Unfit` for one that has no route."""
+    def handle(
+        self, request: Request, sock: socket.socket, stopping: bool
+    ) -> AcceptedQuery | ClientResponse | RejectedRequest:
+        """Answers a readiness check, or routes the request; returns `RejectedRequest` for one that has no
+        route."""
         routing = self.routing
         if self.ready_path and request.target.partition(b"?")[0] == self.ready_path:
-            return Reply(200, b"ready\n") if self.is_ready() and not stopping else Reply(503, b"not ready\n")
+            return (
+                ClientResponse(200, b"ready\n")
+                if self.is_ready() and not stopping
+                else ClientResponse(503, b"not ready\n")
+            )
         hosts = [value for name, value in request.headers if name.lower() == b"host"]
         if len(hosts) > 1:
-            return Unfit(400, "Host is there twice")
+            return RejectedRequest(400, "Host is there twice")
         try:
             request_target = parse_target(request.target, hosts[0] if hosts else None)
         except BadTarget as error:
-            return Unfit(400, str(error))
+            return RejectedRequest(400, str(error))
         route_match, headers = routing.find(self.name, request, request_target)
         if route_match.route_index is None:
             return (
-                Unfit(405, f"only {', '.join(route_match.methods)}")
+                RejectedRequest(405, f"only {', '.join(route_match.methods)}")
                 if route_match.methods
-                else Unfit(404, "no route")
+                else RejectedRequest(404, "no route")
             )
         if any(len(values) > 1 for values in headers.values()):
-            return Unfit(400, "a header that routes go by is there twice")
+            return RejectedRequest(400, "a header that routes go by is there twice")
         state = routing.routes[route_match.route_index]
         if len(request.body) > state.route.body:
-            return Unfit(413, "the body is over the route's limit")
+            return RejectedRequest(413, "the body is over the route's limit")
         return self.admit(request, sock, request_target, route_match.route_index, state, headers)
 
     def admit(
         self, request: Request, sock: socket.socket, request_target: RequestTarget, route_index: int,
         state: RouteState, headers: dict[str, list[str]],
-    ) -> Opened | Reply | Unfit:  # fmt: skip
+    ) -> AcceptedQuery | ClientResponse | RejectedRequest:  # fmt: skip
         """Opens a query if all limits admit it; the cheapest are checked first.
 
         The order is the route's rate limits, the pool's adaptive limit, the route's concurrency limit. What a
@@ -185,7 +193,7 @@
                 return self.reject(429, "rate", delay)
         active_pool = routing.pick_pool(route_index)
         if active_pool.adaptive_limiter is not None and not active_pool.adaptive_limiter.admit(
-            len(active_pool.decisions.held)
+            len(active_pool.driver.held)
         ):
             return self.reject(503, "adaptive", seconds_to_ns(route.agreed), active_pool)
         if not state.concurrency_limiter.admit(client):
@@ -202,13 +210,13 @@
             1 + granted_retries, on_end=self.end_callback(state, active_pool), route=route.name,
             pool=active_pool.config.name, client=client, granted_retries=granted_retries, accepted_at=now,
         )  # fmt: skip
-        return Opened(query, active_pool.decisions)
+        return AcceptedQuery(query, active_pool.driver)
 
     def upstream_headers(
         self, request: Request, request_target: RequestTarget, client: str, trace: bytes, has_request_id: bool
     ) -> Headers:
         """The request's end-to-end headers, with Host, X-Forwarded-For and X-Request-Id set."""
-        headers = passed_on(request.headers, REPLACED_HEADERS)
+        headers = forwarded_headers(request.headers, REPLACED_HEADERS)
         forwarded = [value for name, value in request.headers if name.lower() == FORWARDED_FOR_HEADER]
         if request_target.authority:
             headers.insert(0, (b"Host", request_target.authority.encode()))
@@ -219,7 +227,7 @@
 
     def reject(
         self, status: int, limit_name: str, delay: int, active_pool: ActivePool | None = None
-    ) -> Reply:
+    ) -> ClientResponse:
         """A rejection before anything was sent, so that a retry is safe.
 
         Retry-After is `delay` (nanoseconds) plus random jitter of up to half of it, capped at `come_back` of
@@ -230,7 +238,9 @@
         jittered = int(delay * (1 + 0.5 * self.routing.random()))
         max_delay = SECOND if active_pool is None else seconds_to_ns(active_pool.config.come_back)
         retry_after = jittered if active_pool is None else min(jittered, max_delay)
-        return Reply(status, b"bounced: over a limit; a retry is harmless\n", max(1, retry_after), whole=True)
+        return ClientResponse(
+            status, b"bounced: over a limit; a retry is harmless\n", max(1, retry_after), whole_seconds=True
+        )
 
     def end_callback(
         self, state: RouteState, active_pool: ActivePool
@@ -244,9 +254,9 @@
                 active_pool.retry_limiter.refund(max(0, query.granted_retries - max(0, dispatches - 1)))
             if active_pool.adaptive_limiter is not None and ending == "done":
                 active_pool.adaptive_limiter.record_answer(now, now - query.accepted_at)
-            if self.routing.log_config.access and self.routing.is_sampled(query.trace):
+            if self.routing.log_config.access and self.routing.is_sampled(query.trace_id):
                 log.info("query", extra={
-                    "id": query.trace.decode("latin-1"), "route": query.route, "pool": query.pool,
+                    "id": query.trace_id.decode("latin-1"), "route": query.route, "pool": query.pool,
                     "client": query.client, "method": query.method.decode("latin-1"),
                     "target": query.target.decode("latin-1"), "dispatches": dispatches, "ending": ending,
                     "ms": (now - query.accepted_at) / MILLISECOND,
@@ -254,8 +264,8 @@
 
         return on_end
 
-    def over(self, opened: Opened) -> None:
-        """Does nothing: `GatewayQuery.over` has released the limits already."""
+    def query_finished(self, opened: AcceptedQuery) -> None:
+        """Does nothing: `GatewayQuery.on_finished` has released the limits already."""
 
 
 def peer_address(sock: socket.socket) -> str:
--- a/maddercart/gateway/members.py
+++ b/maddercart/gateway/members.py
@@ -93,5 +93,5 @@
 
     def run(self) -> Coroutine:
         while True:
-            yield Wait(until=self.clock() + POLL_INTERVAL_NS)
+            yield Wait(deadline=self.clock() + POLL_INTERVAL_NS)
             self.poll()
--- a/maddercart/gateway/node.py
+++ b/maddercart/gateway/node.py
@@ -10,17 +10,22 @@
 
 from maddercart.gateway.check import read_gateway
 from maddercart.gateway.file import ConfigFileError, GatewayConfig, Listener, Route
-from maddercart.gateway.front import HttpFront, Routing
+from maddercart.gateway.front import HttpRequestHandler, Routing
 from maddercart.gateway.pools import ActivePool, seconds_to_ns
 from maddercart.gateway.reader import ConfigReader
 from maddercart.interface import SECOND
 from maddercart.net.loop import Coroutine, Loop, Wait
-from maddercart.net.sockets import address, listen
-from maddercart.sidecar.applications import Applications
-from maddercart.sidecar.clock import Clock
-from maddercart.sidecar.node import BODIES, COUNTS_EVERY, MEGABYTE, RESERVE
-from maddercart.sidecar.signals import await_signals
-from maddercart.sidecar.stopping import stop
+from maddercart.net.sockets import listen, parse_address
+from maddercart.sidecar.applications import ApplicationServer
+from maddercart.sidecar.clock import MonotonicClock
+from maddercart.sidecar.node import (
+    BODY_MEMORY_SHARE,
+    COUNTS_INTERVAL_NS,
+    MEGABYTE_BYTES,
+    RESERVED_DESCRIPTORS,
+)
+from maddercart.sidecar.signals import install_signal_handlers
+from maddercart.sidecar.stopping import shut_down
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +35,7 @@
 class ActiveListener:
     """A listener of the current configuration with its listening socket and client connections."""
 
-    def __init__(self, config: Listener, sock: socket.socket, applications: Applications) -> None:
+    def __init__(self, config: Listener, sock: socket.socket, applications: ApplicationServer) -> None:
         self.config, self.sock, self.applications = config, sock, applications
 
 
@@ -42,7 +47,7 @@
         """
         self.path = path
         self.config = read_gateway(path)
-        self.clock = Clock()
+        self.clock = MonotonicClock()
         self.loop = Loop(self.clock)
         self.seed = self.config.process.seed or secrets.randbits(63)
         self.routing = Routing(self.clock, self.seed)
@@ -68,7 +73,7 @@
                 if listener.address not in bound or listener.address.endswith(":0"):
                     active = self.active_listeners.get(listener.name)
                     if active is None or active.config.address != listener.address:
-                        opened[listener.name] = listen(address(listener.address))
+                        opened[listener.name] = listen(parse_address(listener.address))
         except OSError as error:
             for sock in opened.values():
                 sock.close()
@@ -109,15 +114,15 @@
         by_address = {active.config.address: active for active in self.active_listeners.values()}
         active_listeners: dict[str, ActiveListener] = {}
         for listener in config.listeners:
-            front = HttpFront(listener.name, listener.ready, self.routing, self.is_ready)
+            handler = HttpRequestHandler(listener.name, listener.ready, self.routing, self.is_ready)
             if listener.name in opened:
                 sock = opened[listener.name]
-                applications = Applications(self.loop, self.clock, front, self.routing.counts)
+                applications = ApplicationServer(self.loop, self.clock, handler, self.routing.counts)
                 active_listeners[listener.name] = ActiveListener(listener, sock, applications)
-                applications.acceptor = self.loop.spawn(applications.accept_from(sock))
+                applications.accept_task = self.loop.spawn(applications.accept_connections(sock))
                 continue
             active = by_address.pop(listener.address)  # the listener at this address may have been renamed
-            active.config, active.applications.front = listener, front
+            active.config, active.applications.handler = listener, handler
             active_listeners[listener.name] = active
         removed = [
             active for active in self.active_listeners.values() if active not in active_listeners.values()
@@ -128,7 +133,7 @@
                 "listener": active.config.name, "address": active.config.address,
             })  # fmt: skip
             self.loop.spawn(
-                stop(
+                shut_down(
                     self.loop, self.clock, active.sock, active.applications, self.longest_hard_stop,
                     lambda: None,
                 )
@@ -140,13 +145,13 @@
         Half of the descriptors go to listeners and half to pools, in even shares; body memory is divided
         evenly between pools.
         """
-        free = max(2, min(config.process.descriptors, getrlimit(RLIMIT_NOFILE)[0]) - RESERVE)
-        body_bytes = int(config.process.memory_mb * MEGABYTE * BODIES)
+        free = max(2, min(config.process.descriptors, getrlimit(RLIMIT_NOFILE)[0]) - RESERVED_DESCRIPTORS)
+        body_bytes = int(config.process.memory_mb * MEGABYTE_BYTES * BODY_MEMORY_SHARE)
         for active in self.active_listeners.values():
-            active.applications.most = active.config.connections or max(
+            active.applications.max_connections = active.config.connections or max(
                 MIN_CONNECTIONS, free // 2 // len(self.active_listeners)
             )
-            active.applications.most_body = max(route.body for route in config.routes)
+            active.applications.max_body_bytes = max(route.body for route in config.routes)
         for active_pool in self.pools.values():
             active_pool.set_limits(
                 max(MIN_CONNECTIONS, (free - free // 2) // len(self.pools)), body_bytes // len(self.pools)
@@ -184,7 +189,9 @@
 
     def is_ready(self) -> bool:
         """Whether each pool that a route names has a member that takes queries."""
-        return all(active_pool.backing.ready() for active_pool in self.pools.values() if active_pool.routes)
+        return all(
+            active_pool.upstream_pool.is_ready() for active_pool in self.pools.values() if active_pool.routes
+        )
 
     def start(self) -> None:
         self.loop.spawn(self.report_counts())
@@ -192,7 +199,7 @@
     def run(self) -> None:
         """Serves until SIGTERM has been handled."""
         self.start()
-        await_signals(
+        install_signal_handlers(
             self.loop, self.stop, ConfigReader(self.loop, self.path, self.apply_reload).request_read
         )
         gc.collect()
@@ -221,7 +228,7 @@
         for active in list(still_open):
             callback = closed_callback(active)
             self.loop.spawn(
-                stop(
+                shut_down(
                     self.loop, self.clock, active.sock, active.applications, self.longest_hard_stop, callback
                 )
             )
@@ -229,18 +236,18 @@
     def report_counts(self) -> Coroutine:
         """Periodically logs counters, per pool and for routing, and closes drained pools."""
         while True:
-            yield Wait(until=self.clock() + min(COUNTS_EVERY, SECOND))
+            yield Wait(deadline=self.clock() + min(COUNTS_INTERVAL_NS, SECOND))
             for active_pool in [drained for drained in self.draining_pools if drained.is_idle()]:
                 self.draining_pools.remove(active_pool)
                 active_pool.close()
                 log.info("removed pool closed", extra={"pool": active_pool.config.name})
             for name, active_pool in self.pools.items():
-                if active_pool.decisions.counts and self.report_due(active_pool):
+                if active_pool.driver.counts and self.report_due(active_pool):
                     log.info("counts", extra={"pool": name, **self.pool_figures(active_pool)})
-                    active_pool.decisions.counts.clear()
-                    active_pool.decisions.times.reset()
+                    active_pool.driver.counts.clear()
+                    active_pool.driver.latencies_ms.reset()
             if self.routing.counts and self.clock() >= self.next_report_at:
-                self.next_report_at = self.clock() + COUNTS_EVERY
+                self.next_report_at = self.clock() + COUNTS_INTERVAL_NS
                 log.info("counts", extra=dict(sorted(self.routing.counts.items())))
                 self.routing.counts.clear()
 
@@ -249,16 +256,17 @@
         now = self.clock()
         if now < active_pool.next_report_at:
             return False
-        active_pool.next_report_at = now + COUNTS_EVERY
+        active_pool.next_report_at = now + COUNTS_INTERVAL_NS
         return True
 
     def pool_figures(self, active_pool: ActivePool) -> dict[str, int | float]:
         """Counters since the pool's last report, latency percentiles and current gauges."""
-        decisions = active_pool.decisions
+        decisions = active_pool.driver
         figures: dict[str, int | float] = {
-            **dict(sorted(decisions.counts.items())), "p50_ms": decisions.times.get_value_at_percentile(50),
-            "p99_ms": decisions.times.get_value_at_percentile(99), "held": len(decisions.held),
-            "out": len(decisions.out), "to_upstreams": active_pool.backing.pool.count,
+            **dict(sorted(decisions.counts.items())),
+            "p50_ms": decisions.latencies_ms.get_value_at_percentile(50),
+            "p99_ms": decisions.latencies_ms.get_value_at_percentile(99), "held": len(decisions.held),
+            "out": len(decisions.pending), "to_upstreams": active_pool.upstream_pool.pool.connection_count,
         }  # fmt: skip
         if active_pool.adaptive_limiter is not None:
             figures["limit"] = int(active_pool.adaptive_limiter.limit)
@@ -270,7 +278,7 @@
         """Counters since the last reports, summed over routing and all pools."""
         totals: dict[str, int | float] = dict(self.routing.counts)
         for active_pool in self.pools.values():
-            for name, value in active_pool.decisions.counts.items():
+            for name, value in active_pool.driver.counts.items():
                 totals[name] = totals.get(name, 0) + value
         return totals
 
--- a/maddercart/gateway/pools.py
+++ b/maddercart/gateway/pools.py
@@ -1,4 +1,5 @@
-"""A pool in use: the sidecar's `Backing` for a configured pool, with the terms of the routes that use it."""
+"""A pool in use: the sidecar's `UpstreamPool` for a configured pool, with the terms of the routes that use
+it."""
 
 import logging
 from collections.abc import Sequence
@@ -13,9 +14,9 @@
 from maddercart.messages.headers import Headers
 from maddercart.messages.query import Query
 from maddercart.net.loop import Loop, Task
-from maddercart.net.sockets import address
-from maddercart.sidecar.backing import Backing
-from maddercart.sidecar.clock import Clock
+from maddercart.net.sockets import parse_address
+from maddercart.sidecar.backing import UpstreamPool
+from maddercart.sidecar.clock import MonotonicClock
 from maddercart.sidecar.discovery import Discovery
 from maddercart.sidecar.endings import Ending
 
@@ -49,18 +50,20 @@
     zones, cold = zone_names(pool), pool.cold
     max_dispatches = max((route.dispatches for route in routes), default=1)
     return {
-        "place": i.Place(pool.number, pool.sidecars, zones.index(pool.zone or zones[0]), len(zones)),
+        "place": i.SidecarPosition(
+            pool.number, pool.sidecars, zones.index(pool.zone or zones[0]), len(zones)
+        ),
         "offerings": [
             i.Offering(EFFECTS[route.effect], GROUPS[route.group], seconds_to_ns(route.window),
                        seconds_to_ns(route.agreed), route.earnings, route.late_earnings)
             for route in routes
         ],
-        "cold": i.ColdRule(
+        "cold": i.SlowStartRule(
             cold.start, seconds_to_ns(cold.ramp), cold.multiple, seconds_to_ns(cold.window)
         ),
-        "permits": i.Permits(
-            dispatches=max_dispatches, cancel=pool.cancel, probes=bool(pool.probe),
-            come_back=seconds_to_ns(pool.come_back), follow=bool(pool.discovery),
+        "permits": i.BalancerOptions(
+            max_dispatches=max_dispatches, may_cancel=pool.cancel, may_probe=bool(pool.probe),
+            max_retry_delay_ns=seconds_to_ns(pool.come_back), subscribes=bool(pool.discovery),
         ),
     }  # fmt: skip
 
@@ -68,7 +71,7 @@
 class ProbeQuery(Query):
     """The request of a probe."""
 
-    def headers_for(self, wait: int) -> Headers:
+    def headers_for(self, timeout: int) -> Headers:
         return self.headers
 
 
@@ -76,24 +79,30 @@
     """A pool of the current configuration, or a removed one that still completes its queries."""
 
     def __init__(
-        self, loop: Loop, clock: Clock, seed: int, pool: Pool, routes: Sequence[Route], base_dir: Path
+        self,
+        loop: Loop,
+        clock: MonotonicClock,
+        seed: int,
+        pool: Pool,
+        routes: Sequence[Route],
+        base_dir: Path,
     ) -> None:
         """Starts following the pool's members; `base_dir` is where a relative members file is looked up."""
         self.loop, self.clock, self.config, self.base_dir = loop, clock, pool, base_dir
         self.member_list = MemberList(clock)
         self.discovery: Discovery | None = None
         self.watch_task: Task | None = None  # follows a members file
-        self.backing = Backing(
+        self.upstream_pool = UpstreamPool(
             loop, clock, seed, zone_names(pool), kind_names(pool), balancer_arguments(pool, routes),
             self.follow_discovery, classify_status,
         )  # fmt: skip
-        self.decisions = self.backing.decisions
+        self.driver = self.upstream_pool.driver
         self.retry_limiter: RetryLimiter | None = None
         self.adaptive_limiter: AdaptiveLimiter | None = None
         self.routes, self.next_report_at = list(routes), 0
         self.offering_numbers: dict[str, int] = {}  # by route name
         self.apply_config(pool, routes)
-        self.sweep_task = loop.spawn(self.backing.pool.sweep())
+        self.sweep_task = loop.spawn(self.upstream_pool.pool.close_expired())
         self.start_member_source(pool)
 
     def follow_discovery(self) -> None:
@@ -103,8 +112,8 @@
     def apply_config(self, pool: Pool, routes: Sequence[Route]) -> None:
         """Applies the settings that take effect with the next query."""
         self.offering_numbers = {route.name: number for number, route in enumerate(routes)}
-        self.decisions.whole = pool.come_back_whole
-        self.decisions.probe_by = self.probe_query if pool.probe else None
+        self.driver.retry_after_whole_seconds = pool.come_back_whole
+        self.driver.make_probe = self.probe_query if pool.probe else None
         if pool.retries is None:
             self.retry_limiter = None
         elif self.retry_limiter is None:
@@ -120,30 +129,30 @@
 
     def probe_query(self, upstream: int) -> Query:
         """The probe that is sent to the upstream with this number."""
-        host = self.config.probe_host or self.backing.upstreams.names.get(upstream, "")
+        host = self.config.probe_host or self.upstream_pool.upstreams.names.get(upstream, "")
         headers = [(b"Host", host.encode()), (b"User-Agent", b"maddercart-probe")]
         return ProbeQuery(b"GET", self.config.probe.encode(), headers, b"", 0, PROBE_TIMEOUT_NS, b"")
 
     def set_limits(self, max_connections: int, body_bytes: int) -> None:
         """Limits connections to upstreams and the memory for bodies, in bytes."""
-        self.backing.limit(
+        self.upstream_pool.limit(
             max_connections, body_bytes, seconds_to_ns(self.config.idle),
             seconds_to_ns(self.config.connect_timeout),
         )  # fmt: skip
         if self.config.answer:
-            self.backing.pool.most_body = self.config.answer
+            self.upstream_pool.pool.max_body_bytes = self.config.answer
 
     # -- members
 
     def start_member_source(self, pool: Pool) -> None:
         """Starts following the members of `pool`; known members stay until the source reports others."""
         if pool.discovery:
-            learn, failed = self.backing.learn, self.backing.list_failed
-            service_address = address(pool.discovery)
+            learn, failed = self.upstream_pool.apply_listings, self.upstream_pool.on_list_failed
+            service_address = parse_address(pool.discovery)
             self.discovery = Discovery(
-                self.loop, self.clock, service_address, self.backing.upstreams, learn, failed
+                self.loop, self.clock, service_address, self.upstream_pool.upstreams, learn, failed
             )
-            self.backing.dispatcher.news = self.discovery.news
+            self.upstream_pool.dispatcher.has_unread_updates = self.discovery.has_unread_updates
             self.discovery.follow()
         elif pool.file:
             path = self.base_dir / pool.file
@@ -157,14 +166,14 @@
             self.update_members(pool.servers)
 
     def update_members(self, servers: Sequence[Server]) -> None:
-        self.backing.learn([self.member_list.listing(servers, self.config)])
+        self.upstream_pool.apply_listings([self.member_list.listing(servers, self.config)])
 
     def stop_member_source(self) -> None:
         if self.watch_task is not None:
-            self.loop.end(self.watch_task)
+            self.loop.close(self.watch_task)
         if self.discovery is not None:
             self.discovery.close()
-            self.backing.dispatcher.news = lambda: False
+            self.upstream_pool.dispatcher.has_unread_updates = lambda: False
         self.watch_task = self.discovery = None
 
     # -- reload
@@ -177,22 +186,24 @@
         """
         previous, self.config, self.base_dir = self.config, pool, base_dir
         self.apply_config(pool, routes)
-        renumbered = self.backing.switch(zone_names(pool), kind_names(pool), balancer_arguments(pool, routes))
+        renumbered = self.upstream_pool.switch(
+            zone_names(pool), kind_names(pool), balancer_arguments(pool, routes)
+        )
         sources = [(each.discovery, each.file) for each in (previous, pool)]
         if sources[0] == sources[1] and pool.discovery:
             if renumbered and self.discovery is not None:
-                self.discovery.begin_anew()
+                self.discovery.request_whole_list()
             return
         self.stop_member_source()
         self.start_member_source(pool)
 
     def is_idle(self) -> bool:
         """Whether the pool holds no query and no dispatch."""
-        return not (self.decisions.held or self.decisions.out)
+        return not (self.driver.held or self.driver.pending)
 
     def close(self) -> None:
         """Ends the coroutines and closes the connections of an idle pool."""
         self.stop_member_source()
-        self.loop.end(self.sweep_task)
-        self.backing.upstreams.ready.clear()
-        self.backing.pool.drop_unwanted()
+        self.loop.close(self.sweep_task)
+        self.upstream_pool.upstreams.ready.clear()
+        self.upstream_pool.pool.close_unready()
--- a/maddercart/http/application.py
+++ b/maddercart/http/application.py
@@ -6,7 +6,7 @@
 
 import h11
 
-MOST_BODY = 65536  # maximum size of a request body in bytes, set by the protocol
+MAX_BODY_BYTES = 65536  # maximum size of a request body in bytes, set by the protocol
 MAX_HEAD_BYTES = 16384  # request line and headers; a usual limit among servers
 
 
@@ -26,7 +26,7 @@
     body: bytes
 
 
-class Unreadable(ValueError):
+class RequestError(ValueError):
     """The input is not an acceptable request.
 
     `status` is that of the error response, after which the connection must be closed.
@@ -37,7 +37,7 @@
         self.status = status
 
 
-class ApplicationSide:
+class ServerProtocol:
     """One connection of the application.
 
     Pipelined requests are returned one at a time: the next one only once the previous one has been answered.
@@ -45,7 +45,7 @@
     client has closed its sending side, or the last response closes the connection.
     """
 
-    def __init__(self, max_body_bytes: int = MOST_BODY) -> None:
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.max_body_bytes = max_body_bytes
         self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: h11.Request | None = None
@@ -58,22 +58,22 @@
         self.connection.receive_data(data)
 
     @property
-    def held(self) -> int:
+    def unparsed_bytes(self) -> int:
         """The number of received bytes that are not parsed yet."""
         return len(self.connection.trailing_data[0])
 
     @property
-    def begun(self) -> bool:
+    def request_started(self) -> bool:
         """Whether a request has been received in part."""
         return self.request is not None or bool(self.connection.trailing_data[0])
 
     def next_request(self) -> Request | None:
-        """Returns a complete request, or None if more data is needed. Raises `Unreadable`."""
+        """Returns a complete request, or None if more data is needed. Raises `RequestError`."""
         while not self.closing:
             try:
                 event = self.connection.next_event()
             except h11.RemoteProtocolError as error:
-                raise Unreadable(error.error_status_hint, str(error)) from error
+                raise RequestError(error.error_status_hint, str(error)) from error
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return None
             if isinstance(event, h11.Request):
@@ -82,7 +82,7 @@
             elif isinstance(event, h11.Data):
                 self.body += event.data
                 if len(self.body) > self.max_body_bytes:
-                    raise Unreadable(413, "the body is over the limit")
+                    raise RequestError(413, "the body is over the limit")
             elif isinstance(event, h11.EndOfMessage):
                 request, body, self.request, self.body = self.request, bytes(self.body), None, bytearray()
                 assert request is not None
@@ -92,23 +92,25 @@
         return None
 
     def check_framing(self, request: h11.Request) -> None:
-        """Rejects a request by its headers, before its body is read. Raises `Unreadable`."""
+        """Rejects a request by its headers, before its body is read. Raises `RequestError`."""
         lengths = [value for name, value in request.headers if name == b"content-length"]
         chunked = any(name == b"transfer-encoding" for name, _ in request.headers)
         if lengths and chunked:  # ambiguous framing allows request smuggling
-            raise Unreadable(400, "Content-Length and Transfer-Encoding together")
+            raise RequestError(400, "Content-Length and Transfer-Encoding together")
         if lengths and int(lengths[0]) > self.max_body_bytes:
-            raise Unreadable(413, "the body is over the limit")
+            raise RequestError(413, "the body is over the limit")
         if request.method == b"POST" and not (lengths or chunked):
-            raise Unreadable(411, "the length is missing")
+            raise RequestError(411, "the length is missing")
 
-    def go_on(self) -> bytes:
+    def continue_response(self) -> bytes:
         """Returns a 100 Continue response if the client waits for one before it sends the body, else b""."""
         if not self.connection.they_are_waiting_for_100_continue:
             return b""
         return self.connection.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
-    def answer(self, status: int, headers: Sequence[tuple[bytes, bytes]], body: bytes, close: bool) -> bytes:
+    def serialize_response(
+        self, status: int, headers: Sequence[tuple[bytes, bytes]], body: bytes, close: bool
+    ) -> bytes:
         """Serializes a response; afterwards `closing` tells whether the connection must be closed."""
         fields = [*headers, (b"Connection", b"close")] if close else [*headers]
         send = self.connection.send_with_data_passthrough  # copies the body only once, in the join
--- a/maddercart/http/upstream.py
+++ b/maddercart/http/upstream.py
@@ -6,11 +6,11 @@
 import h11
 
 
-class Malformed(ValueError):
+class MalformedResponse(ValueError):
     """The received data is not a valid HTTP response or exceeds the size limit."""
 
 
-class WholeAnswer(NamedTuple):
+class Response(NamedTuple):
     """A complete response; header names keep the spelling of the upstream."""
 
     status: int
@@ -18,7 +18,7 @@
     body: bytes
 
 
-class UpstreamSide:
+class ClientProtocol:
     """One connection, which carries one request at a time; `max_body_bytes` limits the body of a response."""
 
     def __init__(self, max_body_bytes: int) -> None:
@@ -28,16 +28,16 @@
         self.body = bytearray()
 
     @property
-    def held(self) -> int:
+    def body_bytes(self) -> int:
         """The number of bytes of the body received so far."""
         return len(self.body)
 
     @property
-    def begun(self) -> bool:
+    def response_started(self) -> bool:
         """Whether a response has been received in part."""
         return self.response is not None or bool(self.connection.trailing_data[0])
 
-    def request(
+    def serialize_request(
         self, method: bytes, target: bytes, headers: Sequence[tuple[bytes, bytes]], body: bytes
     ) -> bytes:
         data = self.connection.send(h11.Request(method=method, target=target, headers=list(headers))) or b""
@@ -45,10 +45,10 @@
             data += self.connection.send(h11.Data(data=body)) or b""
         return data + (self.connection.send(h11.EndOfMessage()) or b"")
 
-    def feed(self, data: bytes) -> WholeAnswer | None:
+    def feed(self, data: bytes) -> Response | None:
         """Returns the response once it is complete, else None.
 
-        Empty data means that the upstream has closed its sending side. Raises `Malformed`, also for a
+        Empty data means that the upstream has closed its sending side. Raises `MalformedResponse`, also for a
         response that the close has truncated.
         """
         try:
@@ -63,23 +63,23 @@
                 elif isinstance(event, h11.Data):
                     self.body += event.data
                     if len(self.body) > self.max_body_bytes:
-                        raise Malformed("response body exceeds the size limit")
+                        raise MalformedResponse("response body exceeds the size limit")
                 elif isinstance(event, h11.EndOfMessage):
                     response, body, self.response, self.body = self.response, self.body, None, bytearray()
                     assert response is not None
-                    return WholeAnswer(response.status_code, response.headers.raw_items(), bytes(body))
+                    return Response(response.status_code, response.headers.raw_items(), bytes(body))
                 elif isinstance(event, h11.ConnectionClosed):
                     return None
         except h11.RemoteProtocolError as error:
-            raise Malformed(str(error)) from error
+            raise MalformedResponse(str(error)) from error
 
     def check_content_length(self, response: h11.Response) -> None:
-        """Rejects a body that is too large before it is read. Raises `Malformed`."""
+        """Rejects a body that is too large before it is read. Raises `MalformedResponse`."""
         for name, value in response.headers:
             if name == b"content-length" and int(value) > self.max_body_bytes:
-                raise Malformed("response body exceeds the size limit")
+                raise MalformedResponse("response body exceeds the size limit")
 
-    def reuse(self) -> bool:
+    def prepare_reuse(self) -> bool:
         """Prepares for a further request after a complete response.
 
         Returns false if the connection cannot carry one.
--- a/maddercart/http/watch.py
+++ b/maddercart/http/watch.py
@@ -10,38 +10,38 @@
 MAX_VALUE_BYTES = 4 * 1024 * 1024  # enough for a full list of about ten thousand upstreams
 
 
-class WatchFailed(ValueError):
+class WatchError(ValueError):
     """Discovery sent something other than a list, or the connection broke."""
 
 
-class NoList(WatchFailed):
+class InvalidListing(WatchError):
     """Data of the list was invalid, so that the current state of the list is unknown."""
 
 
-class WatchSide:
+class WatchProtocol:
     """One connection to discovery: successive requests, the last of which may be the watch.
 
-    `host` is the value of the Host header. `asked` is true once a request was made, `ended` once its response
-    is complete and a further request may follow.
+    `host` is the value of the Host header. `request_sent` is true once a request was made,
+    `response_complete` once its response is complete and a further request may follow.
     """
 
     def __init__(self, host: str) -> None:
         self.connection = h11.Connection(h11.CLIENT)
         self.host = host.encode()
         self.splitter = JsonSplitter(MAX_VALUE_BYTES)
-        self.asked = False
-        self.ended = False
+        self.request_sent = False
+        self.response_complete = False
 
     @property
-    def part(self) -> bool:
+    def value_started(self) -> bool:
         """Whether a value has been received in part."""
         return self.splitter.in_value
 
-    def request(self, target: str) -> bytes:
-        if self.ended:
+    def serialize_request(self, target: str) -> bytes:
+        if self.response_complete:
             self.connection.start_next_cycle()
-            self.ended = False
-        self.asked = True
+            self.response_complete = False
+        self.request_sent = True
         headers = [(b"Host", self.host), (b"Accept", b"application/json")]
         data = (
             self.connection.send(h11.Request(method=b"GET", target=target.encode(), headers=headers)) or b""
@@ -51,7 +51,7 @@
     def feed(self, data: bytes) -> list[bytes]:
         """Returns the JSON values that are now complete. Whitespace between them is only a keep-alive signal.
 
-        Raises `WatchFailed`.
+        Raises `WatchError`.
         """
         values: list[bytes] = []
         try:
@@ -61,17 +61,17 @@
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return values
                 if isinstance(event, h11.Response) and event.status_code != 200:
-                    raise WatchFailed(f"discovery responded with status {event.status_code}")
+                    raise WatchError(f"discovery responded with status {event.status_code}")
                 if isinstance(event, h11.Data):
                     values += self.splitter.feed(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage):
-                    if self.part:
-                        raise NoList("the response ended within a JSON value")
-                    self.ended = True
+                    if self.value_started:
+                        raise InvalidListing("the response ended within a JSON value")
+                    self.response_complete = True
                     return values
                 elif isinstance(event, h11.ConnectionClosed):
-                    raise WatchFailed("discovery closed the connection")
+                    raise WatchError("discovery closed the connection")
         except h11.RemoteProtocolError as error:
-            raise WatchFailed(str(error)) from error
+            raise WatchError(str(error)) from error
         except JsonStreamError as error:
-            raise NoList(str(error)) from error
+            raise InvalidListing(str(error)) from error
--- a/maddercart/interface.py
+++ b/maddercart/interface.py
@@ -3,38 +3,40 @@
 The host owns the clock, the sockets (or the simulator's wire) and the timers. It makes one call on a
 `Balancer` for each event and then pulls decisions, one at a time, until there are none left:
 
-    balancer.take(now, query, ...)
-    while (decision := balancer.decide(now)) is not None:
+    balancer.take_query(now, query, ...)
+    while (decision := balancer.next_decision(now)) is not None:
         ...carry it out, in this order...
 
 Calls only update the balancer's state. Times are whole nanoseconds of one monotonic clock; ids are chosen by
 the host and returned unchanged. Every decision depends only on the call it follows and on earlier calls.
 
 Calls
-    learn(now, entries, whole)      the upstream list, or changes of it; `whole`: the list is complete, and an
-                                    upstream that is not on it is gone
-    list_failed(now, left)          a `follow` failed, or the subscription broke; `left`: the time until a
-                                    missed change counts as received, if that is known
-    take(now, query, offering, remaining, waited, party, again, most)   a new query, due within `remaining`.
-                                    Of that, `waited` has already passed as the host is behind. `party` is the
-                                    tenant (-1: unknown); `again`: this is a retry by the client; `most`
-                                    limits the dispatches further than the settings do (0: it does not)
-    outcome(now, query, upstream, number, duration, outcome, ended, report)   a dispatch has ended; `number`
-                                    counts the dispatches of the query from 0; `ended`: the query needs no
-                                    further dispatch; `report` is None if the upstream sent none
-    may_begin(now, query)           whether a dispatch whose connection is now up may still be written. The
+    update_list(now, entries, is_complete)   the upstream list, or changes of it; `is_complete`: the list is
+                                    complete, and an upstream that is not on it is gone
+    list_failed(now, remaining_ns)  a `follow` failed, or the subscription broke; `remaining_ns`: the time
+                                    until a missed change counts as received, if that is known
+    take_query(now, query, offering, remaining_ns, waited_ns, tenant, is_retry, max_dispatches)   a new query,
+                                    due within `remaining_ns`. Of that, `waited_ns` has already passed as the
+                                    host is behind. `tenant` is -1 if it is unknown; `is_retry`: this is a
+                                    retry by the client; `max_dispatches` limits the dispatches further than
+                                    the settings do (0: it does not)
+    dispatch_ended(now, query, upstream, attempt, duration_ns, outcome, query_ended, report)   a dispatch has
+                                    ended; `attempt` counts the dispatches of the query from 0; `query_ended`:
+                                    the query needs no further dispatch; `report` is None if the upstream sent
+                                    none
+    may_write(now, query)           whether a dispatch whose connection is now up may still be written. The
                                     repeat of a labelled query may not be after its window; a dispatch that
-                                    was not written ends as MOOT
-    left(now, query)                the client has disconnected; the query needs no answer
-    probed(now, upstream, ok, duration, report)   a probe has ended
-    woken(now)                      the requested timer has fired
-
-    renew(now, place, offerings, cold, permits, zones, kinds, quotas)   applies new settings, in which zones
-                                    and kinds may have other numbers: `zones` and `kinds` give the new number
-                                    for each old one, -1 if it no longer exists. Held queries keep the terms
-                                    under which they were taken, and the state of upstreams (drains, budgets,
-                                    ejections, dispatches in flight) is kept. The host must switch everything
-                                    that it addresses by such a number in the same turn
+                                    was not written ends as NOT_WRITTEN
+    client_left(now, query)         the client has disconnected; the query needs no answer
+    probe_ended(now, upstream, success, duration_ns, report)   a probe has ended
+    timer_fired(now)                the requested timer has fired
+
+    reconfigure(now, place, offerings, cold, permits, zones, kinds, quotas)   applies new settings, in which
+                                    zones and kinds may have other numbers: `zones` and `kinds` give the new
+                                    number for each old one, -1 if it no longer exists. Held queries keep the
+                                    terms under which they were taken, and the state of upstreams (drains,
+                                    budgets, ejections, dispatches in flight) is kept. The host must switch
+                                    everything that it addresses by such a number in the same turn
 
 Decisions: plain tuples, verb first
     ("dispatch", query, upstream, limit)   send it; it times out after `limit` (0: at the hard stop)
@@ -44,7 +46,7 @@
     ("abort", query)                       final: failed, the effect is unknown
     ("probe", upstream)                    send a health probe
     ("follow",)                            subscribe to changes of the list
-    ("wake", after)                        call `woken` once this time has passed
+    ("wake", after)                        call `timer_fired` once this time has passed
     ("note", text)                         a log line for the operator
 """
 
@@ -56,17 +58,17 @@
 MILLISECOND: Final = 1_000_000
 
 # How a dispatch ended. NEVER_RAN holds the outcomes that guarantee that the upstream did not process the
-# query; it is the last column of the table in the wire page. CANCELLED and MOOT (not written) say nothing
+# query; it is the last column of the table in the wire page. CANCELLED and NOT_WRITTEN say nothing
 # about the upstream.
 DONE: Final = 1
-ERROR: Final = 2
-FULL: Final = 3
+FAILED: Final = 2
+REJECTED: Final = 3
 TIMED_OUT: Final = 4
 UNREACHABLE: Final = 5
 RESET: Final = 6
 CANCELLED: Final = 7
-MOOT: Final = 8
-NEVER_RAN: Final = frozenset({FULL, UNREACHABLE, MOOT})
+NOT_WRITTEN: Final = 8
+NEVER_RAN: Final = frozenset({REJECTED, UNREACHABLE, NOT_WRITTEN})
 
 # The condition of an upstream, according to the list.
 GONE: Final = 0
@@ -86,9 +88,9 @@
 Decision = tuple[str | int, ...]
 
 
-class Entry(NamedTuple):
-    """One upstream on the list. `size` is its relative capacity; `launched` is when it started, as an instant
-    of the balancer's clock, or 0 if that was long ago."""
+class ListEntry(NamedTuple):
+    """One upstream on the list. `size` is its relative capacity; `started_at` is when it started, as an
+    instant of the balancer's clock, or 0 if that was long ago."""
 
     upstream: int
     zone: int
@@ -96,7 +98,7 @@
     cell: int
     condition: int
     size: float
-    launched: int
+    started_at: int
 
 
 class Report(NamedTuple):
@@ -115,16 +117,17 @@
 class Offering(NamedTuple):
     """The terms of one type of query.
 
-    `effect` is REDOABLE, LABELLED or IRREVERSIBLE. `group` (EVERYWHERE, SAME_ZONE or SAME_CELL) and `window`
-    (ns) are the scope and the time within which a repeat of a labelled query is deduplicated. `agreed` is the
-    latency target (ns); an answer is worth `earnings` within it and `late_earnings` after it. `zones` and
-    `kinds` restrict the upstreams to which the query may be sent; None: no restriction.
+    `effect` is REDOABLE, LABELLED or IRREVERSIBLE. `deduplication_scope` (EVERYWHERE, SAME_ZONE or SAME_CELL)
+    and `deduplication_window_ns` are the scope and the time within which a repeat of a labelled query is
+    deduplicated. `agreed_time_ns` is the latency target; an answer is worth `earnings` within it and
+    `late_earnings` after it. `zones` and `kinds` restrict the upstreams to which the query may be sent; None:
+    no restriction.
     """
 
     effect: int
-    group: int
-    window: int
-    agreed: int
+    deduplication_scope: int
+    deduplication_window_ns: int
+    agreed_time_ns: int
     earnings: float
     late_earnings: float
     zones: frozenset[int] | None = None
@@ -143,55 +146,57 @@
 
         return self._replace(zones=translate(self.zones, zones), kinds=translate(self.kinds, kinds))
 
-    def allows(self, entry: Entry) -> bool:
+    def allows(self, entry: ListEntry) -> bool:
         """Whether the zone and the kind of an upstream permit this query."""
         return (self.zones is None or entry.zone in self.zones) and (
             self.kinds is None or entry.kind in self.kinds
         )
 
 
-class Place(NamedTuple):
-    """The position of this sidecar: its number among `sidecars` and its zone among `zones`, both from 0."""
+class SidecarPosition(NamedTuple):
+    """The position of this sidecar: its number among `sidecar_count` and its zone among `zone_count`, both
+    from 0."""
 
     number: int
-    sidecars: int
+    sidecar_count: int
     zone: int
-    zones: int
+    zone_count: int
 
 
-class ColdRule(NamedTuple):
+class SlowStartRule(NamedTuple):
     """The slow-start rule.
 
-    The capacity of an upstream grows from the share `start` to 1 within `ramp` (ns) of its start. Over any
-    `window` (ns) it may get at most `multiple` times the work that it can do by then.
+    The capacity of an upstream grows from the share `start_share` to 1 within `ramp_ns` of its start. Over
+    any `window_ns` it may get at most `work_multiple` times the work that it can do by then.
     """
 
-    start: float
-    ramp: int
-    multiple: float
-    window: int
+    start_share: float
+    ramp_ns: int
+    work_multiple: float
+    window_ns: int
 
 
-class Permits(NamedTuple):
+class BalancerOptions(NamedTuple):
     """What the settings allow.
 
-    `dispatches` limits the dispatches of a query, `cancel` allows to cancel them and `probes` to probe
-    upstreams. `come_back` is the longest retry delay (ns) given with a bounce; 0: none is given. `follow`:
-    the host subscribes to the list when told to; otherwise lists are pushed to it. `moving`: the list's
-    sizes are lowered by the load of an upstream, to size / (1 + queries held per core). `streams` is the
-    number of concurrent queries on one connection to an upstream. `crossing` is the cost of a dispatch to
-    another zone, in earnings of a query. `drains`: only draining is binding, whatever the list says later,
-    until the upstream restarts. `stale` is the greatest permitted age of the list (ns); failed calls are
-    retried well within it.
+    `max_dispatches` limits the dispatches of a query, `may_cancel` allows to cancel them and `may_probe` to
+    probe upstreams. `max_retry_delay_ns` is the longest retry delay given with a bounce; 0: none is given.
+    `subscribes`: the host subscribes to the list when told to; otherwise lists are pushed to it.
+    `sizes_follow_load`: the list's sizes are lowered by the load of an upstream, to size / (1 + queries held
+    per core). `streams_per_connection` is the number of concurrent queries on one connection to an upstream.
+    `cross_zone_cost` is the cost of a dispatch to another zone, in earnings of a query.
+    `only_draining_binds`: only draining is binding, whatever the list says later, until the upstream
+    restarts. `max_list_age_ns` is the greatest permitted age of the list; failed calls are retried well
+    within it.
     """
 
-    dispatches: int
-    cancel: bool
-    probes: bool
-    come_back: int
-    follow: bool
-    moving: bool = False
-    streams: int = 1
-    crossing: float = 0.0
-    drains: bool = False
-    stale: int = 1 << 62
+    max_dispatches: int
+    may_cancel: bool
+    may_probe: bool
+    max_retry_delay_ns: int
+    subscribes: bool
+    sizes_follow_load: bool = False
+    streams_per_connection: int = 1
+    cross_zone_cost: float = 0.0
+    only_draining_binds: bool = False
+    max_list_age_ns: int = 1 << 62
--- a/maddercart/lab/clients.py
+++ b/maddercart/lab/clients.py
@@ -8,7 +8,7 @@
 from maddercart.interface import REDOABLE, SECOND
 from maddercart.lab.day import Workload
 from maddercart.lab.scenario import Scenario
-from maddercart.lab.sidecars import Ask
+from maddercart.lab.sidecars import Query
 from maddercart.lab.streams import random_stream, uniforms
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
                 workload.offering,
                 workload.tenant,
                 workload.work_ns,
-                workload.luck,
+                workload.failure_draw,
             )
             yield from zip(
                 range(start, end), *(column[start:end].tolist() for column in columns), strict=True
@@ -68,7 +68,7 @@
     def schedule_next_arrival(self) -> None:
         """Schedules one arrival at a time: a million of them in the event queue would slow it down."""
         if (row := next(self.rows, None)) is not None:
-            self.engine.at(row[1], self.arrive, row)
+            self.engine.schedule(row[1], self.arrive, row)
 
     def arrive(self, row: "Row") -> None:
         wish, arrival, sidecar_number, offering, tenant, work, luck = row
@@ -90,7 +90,7 @@
         now, sidecar = self.engine.now, self.world.sidecars[sidecar_number]
         self.query_count += 1
         hard_stop_at = now + self.hard_stops_ns[offering]
-        query = Ask(
+        query = Query(
             self.query_count,
             wish,
             sidecar,
@@ -107,30 +107,30 @@
         if self.world.story is not None:
             self.world.story.query_sent(now, query)
         if first + self.patience_ns < hard_stop_at:
-            self.engine.at(max(now, first + self.patience_ns), self.give_up, query)
+            self.engine.schedule(max(now, first + self.patience_ns), self.give_up, query)
         else:
-            self.engine.at(hard_stop_at + 1, self.hard_stop_passed, query)
+            self.engine.schedule(hard_stop_at + 1, self.hard_stop_passed, query)
         sidecar.receive_query(query)
 
-    def give_up(self, query: Ask) -> None:
+    def give_up(self, query: Query) -> None:
         if not query.finished:
             query.finished = True
             self.world.meter.wish_ended(query, "left", self.engine.now)
             query.sidecar.client_left(query)
 
-    def hard_stop_passed(self, query: Ask) -> None:
+    def hard_stop_passed(self, query: Query) -> None:
         """Ends a query without an answer by its hard stop, which only a pause of its sidecar excuses."""
         if not query.finished:
             query.finished = True
             self.world.meter.wish_ended(query, "unanswered", self.engine.now)
 
-    def connection_lost(self, query: Ask) -> None:
+    def connection_lost(self, query: Query) -> None:
         """Handles the loss of a query by a restart of its sidecar."""
         if not query.finished:
             query.finished = True
             self.retry_or_end(query, "lost", 0)
 
-    def receive_answer(self, query: Ask, outcome: str, retry_after: int) -> None:
+    def receive_answer(self, query: Query, outcome: str, retry_after: int) -> None:
         """Handles the final answer: "done", "bounce" or "abort"; `retry_after` is 0 except for a bounce."""
         if query.finished:
             return
@@ -140,7 +140,7 @@
         else:
             self.retry_or_end(query, outcome, retry_after)
 
-    def retry_or_end(self, query: Ask, outcome: str, retry_after: int) -> None:
+    def retry_or_end(self, query: Query, outcome: str, retry_after: int) -> None:
         """Schedules a retry if the client's settings and the query's effect allow one; else ends the wish."""
         now, mode = self.engine.now, self.settings.retry
         if (
@@ -158,18 +158,18 @@
             and not (self.ignores_retry_after is not None and self.ignores_retry_after[query.wish])
         ):
             delay = retry_after
-        if now + delay >= query.first + self.patience_ns:
+        if now + delay >= query.first_try_at + self.patience_ns:
             return self.world.meter.wish_ended(query, outcome, now)
-        self.engine.at(now + delay, self.retry, query)
+        self.engine.schedule(now + delay, self.retry, query)
 
-    def retry(self, query: Ask) -> None:
+    def retry(self, query: Query) -> None:
         self.send_query(
             query.wish,
             query.sidecar.number,
             query.offering,
             query.tenant,
-            query.work,
-            query.luck,
-            query.first,
+            query.work_ns,
+            query.failure_draw,
+            query.first_try_at,
             query.try_number + 1,
         )
--- a/maddercart/lab/commands.py
+++ b/maddercart/lab/commands.py
@@ -66,7 +66,7 @@
     from maddercart.lab import scenario as scenarios
     from maddercart.lab.world import World
 
-    result = World(scenarios.read(scenario), seed, policy).play()
+    result = World(scenarios.read(scenario), seed, policy).run()
     if json:
         typer.echo(msgspec.json.encode({**result.figures, "breaches": result.breaches}).decode())
     else:
@@ -229,20 +229,20 @@
     scenario_config = scenarios.read(scenario)
     if worst:
         world = World(scenario_config, seed, policy)
-        world.play()
+        world.run()
         durations, endings = (
-            np.frombuffer(world.meter.took, np.int64),
-            np.frombuffer(world.meter.how, np.int8),
+            np.frombuffer(world.meter.latencies_ns, np.int64),
+            np.frombuffer(world.meter.outcomes, np.int8),
         )
         wish = int(np.argmax(np.where((endings == 1) | (endings == 2), durations, -1)))
     if (wish < 0) == (server < 0):
         raise ScenarioError("explain: give one of --wish N, --worst and --server N")
     story = Story(wish, server, start, end)
     world = World(scenario_config, seed, policy, story)
-    for name, number, count in (("wish", wish, len(world.day)), ("server", server, len(world.servers))):
+    for name, number, count in (("wish", wish, len(world.workload)), ("server", server, len(world.servers))):
         if number >= count:
             raise ScenarioError(f"explain: --{name} {number}: the day has {count}")
-    world.play()
+    world.run()
     for seconds, text in story.lines:
         typer.echo(f"{seconds:12.6f}  {text}")
 
--- a/maddercart/lab/day.py
+++ b/maddercart/lab/day.py
@@ -29,14 +29,21 @@
     offering: Ints
     tenant: Ints  # -1: none
     work_ns: Ints  # on one core of a server of speed 1
-    luck: Floats  # 0 to 1: decides whether a server that fails a share of its queries fails this one
+    failure_draw: Floats  # 0 to 1: decides whether a server that fails a share of its queries fails this one
 
     def __len__(self) -> int:
         return len(self.arrival_ns)
 
     def digest(self) -> str:
         hasher = blake2b(digest_size=16)
-        for column in (self.arrival_ns, self.sidecar, self.offering, self.tenant, self.work_ns, self.luck):
+        for column in (
+            self.arrival_ns,
+            self.sidecar,
+            self.offering,
+            self.tenant,
+            self.work_ns,
+            self.failure_draw,
+        ):
             hasher.update(np.ascontiguousarray(column).tobytes())
         return hasher.hexdigest()
 
@@ -106,8 +113,8 @@
     times, sidecars = [], []
     for index, flow in enumerate(scenario.flows):
         generator = random_stream(seed, "arrivals", index)
-        at = arrivals(flow, scenario.ends(flow), generator)
-        flow_shares = shares * (zone_of == scenario.zone(flow.zone)) if flow.zone else shares
+        at = arrivals(flow, scenario.end_seconds(flow), generator)
+        flow_shares = shares * (zone_of == scenario.zone_index(flow.zone)) if flow.zone else shares
         if not flow_shares.sum():
             continue
         times.append(at)
@@ -119,7 +126,7 @@
     for index, trouble in enumerate(scenario.troubles):
         if trouble.kind == "tenant_burst" and tenant is not None:
             tenant_index = [candidate.name for candidate in scenario.tenants].index(trouble.tenant)
-            inside = (at >= trouble.start) & (at < scenario.ends(trouble)) & (tenant == tenant_index)
+            inside = (at >= trouble.start) & (at < scenario.end_seconds(trouble)) & (tenant == tenant_index)
             draws = random_stream(seed, "bursts", index)
             repeated = (
                 np.flatnonzero(inside)[
@@ -129,7 +136,7 @@
                 else np.zeros(0, dtype=np.int64)
             )
             repeat_times = trouble.start + draws.random(len(repeated)) * (
-                scenario.ends(trouble) - trouble.start
+                scenario.end_seconds(trouble) - trouble.start
             )
             at, sidecar, tenant = (
                 np.concatenate([old, new])
@@ -149,7 +156,7 @@
         offering=offering.astype(np.int64),
         tenant=tenants.astype(np.int64),
         work_ns=np.maximum(1, work_ms * 1e6).astype(np.int64),
-        luck=random_stream(seed, "luck").random(len(at)),
+        failure_draw=random_stream(seed, "luck").random(len(at)),
     )
 
 
--- a/maddercart/lab/engine.py
+++ b/maddercart/lab/engine.py
@@ -15,7 +15,7 @@
         self.last_sequence = 0
         self.heap: list[Event] = []
 
-    def at(self, time: int, callback: Callable[[Any], None], argument: Any = None) -> None:
+    def schedule(self, time: int, callback: Callable[[Any], None], argument: Any = None) -> None:
         """Schedules `callback(argument)`. Raises ValueError for a time in the past."""
         if time < self.now:
             raise ValueError(f"event time {time} ns is before the current time {self.now} ns")
--- a/maddercart/lab/experiment.py
+++ b/maddercart/lab/experiment.py
@@ -130,7 +130,7 @@
                 for key, value in zip(sweep.keys, row, strict=True):
                     set_value(varied, key, value, f"{source}: sweep {sweep.name}")
             origin = f"{source}: {location}" + (f" at {point}" if point else "")
-            scenario = scenarios.convert(varied, origin)
+            scenario = scenarios.parse_scenario(varied, origin)
             expanded += [
                 Run(Path(name).stem, scenario, point, policy, seed)
                 for policy in experiment.policies
--- a/maddercart/lab/listing.py
+++ b/maddercart/lab/listing.py
@@ -5,7 +5,7 @@
 
 from typing import TYPE_CHECKING
 
-from maddercart.interface import GONE, READY, SECOND, Entry
+from maddercart.interface import GONE, READY, SECOND, ListEntry
 from maddercart.lab.scenario import Scenario
 from maddercart.lab.streams import exponentials, random_stream
 
@@ -33,18 +33,18 @@
         self.ns_per_entry = SECOND / self.settings.lines_per_s
         self.busy_until = 0  # when all updates queued so far will have been sent
         self.version = 0
-        self.entries: dict[int, Entry] = {}
+        self.entries: dict[int, ListEntry] = {}
         self.changed_in_version: dict[int, int] = {}  # by server: the version that last changed its entry
         self.down, self.stale, self.flushing = False, False, False
         self.entries_sent = 0  # to all sidecars; a figure of the results
-        self.cache: dict[tuple[int, int], list[Entry]] = {}
+        self.cache: dict[tuple[int, int], list[ListEntry]] = {}
 
     def update_entry(self, server: "Server", size: float | None = None) -> None:
         """Updates a server's entry under a new version; `size` overrides the server's own."""
-        launched = server.launched if server.launched > 0 else 0
+        launched = server.started_cold_at if server.started_cold_at > 0 else 0
         self.version += 1
         self.changed_in_version[server.number] = self.version
-        self.entries[server.number] = Entry(
+        self.entries[server.number] = ListEntry(
             server.number,
             server.zone,
             server.kind,
@@ -65,12 +65,12 @@
             if server.condition == READY:
                 self.update_entry(server, server.size / (1 + server.held_count() / server.cores))
         self.schedule_flush()
-        self.engine.at(self.engine.now + round(self.settings.loads_every * SECOND), self.publish_loads)
+        self.engine.schedule(self.engine.now + round(self.settings.loads_every * SECOND), self.publish_loads)
 
     def schedule_flush(self) -> None:
         if not self.flushing:
             self.flushing = True
-            self.engine.at(self.engine.now + COALESCE_NS, self.flush)
+            self.engine.schedule(self.engine.now + COALESCE_NS, self.flush)
 
     def flush(self, _: None = None) -> None:
         self.flushing = False
@@ -80,7 +80,7 @@
                 if sidecar.subscribed:
                     self.send_update(sidecar)
 
-    def entries_since(self, since_version: int) -> list[Entry]:
+    def entries_since(self, since_version: int) -> list[ListEntry]:
         """The entries changed after a version, or those of all servers that are not gone if it is -1."""
         if (since_version, self.version) not in self.cache:
             self.cache[since_version, self.version] = (
@@ -106,7 +106,7 @@
             + (int(next(self.delivery_delays) * SECOND) if self.delivery_delays else 0)
         )
         sidecar.list_delivery_at = max(sidecar.list_delivery_at, delivery_at)  # updates arrive in order
-        self.engine.at(
+        self.engine.schedule(
             sidecar.list_delivery_at,
             sidecar.receive_list,
             (entries, sidecar.list_version < 0, sidecar.incarnation, now),
@@ -116,7 +116,7 @@
     def subscribe(self, sidecar: "Sidecar") -> None:
         """Subscribes a sidecar, starting with the whole list; while down, tells it of the failure in 1 s."""
         if self.down:
-            self.engine.at(self.engine.now + SECOND, sidecar.list_unavailable, sidecar.incarnation)
+            self.engine.schedule(self.engine.now + SECOND, sidecar.list_unavailable, sidecar.incarnation)
             return
         sidecar.subscribed, sidecar.list_version = True, -1
         if not self.stale:
@@ -127,7 +127,9 @@
         for sidecar in self.world.sidecars:
             if down and sidecar.subscribed and sidecar.subscribes:
                 sidecar.subscribed = False
-                self.engine.at(self.engine.now + LAN_DELAY_NS, sidecar.list_unavailable, sidecar.incarnation)
+                self.engine.schedule(
+                    self.engine.now + LAN_DELAY_NS, sidecar.list_unavailable, sidecar.incarnation
+                )
         if not down:
             self.schedule_flush()
 
--- a/maddercart/lab/meter.py
+++ b/maddercart/lab/meter.py
@@ -12,11 +12,11 @@
 from maddercart.interface import SECOND
 from maddercart.lab.day import Workload
 from maddercart.lab.scenario import Scenario
-from maddercart.lab.sidecars import Ask
+from maddercart.lab.sidecars import Query
 
 OUTCOMES = ("open", "done", "late", "bounce", "abort", "left", "unanswered", "lost")
 HOME_STATE = "PRIMARY"  # the failover state in which a sidecar sends its traffic to its home group
-STEP = 0.5  # length in seconds of a step of the time line
+STEP_SECONDS = 0.5  # length in seconds of a step of the time line
 # "first": first tries; "gone": left, unanswered or lost; "crossed": dispatches to another zone;
 # "away": sidecars that are not in the home state.
 COLUMNS = ("asked", "first", "done", "late", "bounce", "abort", "gone", "sent", "crossed", "away")
@@ -33,14 +33,14 @@
         self.scenario, self.workload = scenario, workload
         count = len(workload)
         # By wish: index into the outcomes, latency in ns, number of tries (at most 127).
-        self.how = array("b", bytes(count))
-        self.took = array("q", bytes(8 * count))
+        self.outcomes = array("b", bytes(count))
+        self.latencies_ns = array("q", bytes(8 * count))
         self.try_counts = array("b", bytes(count))
         self.agreed_times_ns = [round(terms.agreed * SECOND) for terms in scenario.offerings]
-        self.step_count = int(scenario.seconds / STEP) + 1
+        self.step_count = int(scenario.seconds / STEP_SECONDS) + 1
         # Counts by zone, column and step.
         self.timelines = [[[0] * self.step_count for _ in COLUMNS] for _ in scenario.zones]
-        self.step_ns = int(STEP * SECOND)
+        self.step_ns = int(STEP_SECONDS * SECOND)
         self.sidecar_zones = [n for n, zone in enumerate(scenario.zones) for _ in range(zone.sidecars)]
         self.dispatch_count = self.cross_zone_count = self.probe_count = self.wish_count = 0
         self.notes: list[tuple[float, int, str]] = []  # seconds, sidecar, text
@@ -63,11 +63,11 @@
         if cross_zone:
             self.add(now, zone, 8)
 
-    def wish_ended(self, query: Ask, outcome: str, now: int) -> None:
-        latency = now - query.first
+    def wish_ended(self, query: Query, outcome: str, now: int) -> None:
+        latency = now - query.first_try_at
         if outcome == "done" and latency > self.agreed_times_ns[query.offering]:
             outcome = "late"
-        self.how[query.wish], self.took[query.wish] = OUTCOMES.index(outcome), latency
+        self.outcomes[query.wish], self.latencies_ns[query.wish] = OUTCOMES.index(outcome), latency
         self.try_counts[query.wish] = min(query.try_number, 127)
         self.add(now, query.sidecar.zone, 2 + min(OUTCOMES.index(outcome) - 1, 4))
 
@@ -106,11 +106,11 @@
     """The results of one run. The figure `share` is relative to the earnings asked for after the warm-up."""
 
     figures: dict[str, float | int | str]
-    took: NDArray[np.int64] = field(repr=False)  # ns, of the wishes that were done
-    lines: list[list[list[int]]] = field(repr=False)  # by zone, by column, by step
+    latencies_ns: NDArray[np.int64] = field(repr=False)  # ns, of the wishes that were done
+    timelines: list[list[list[int]]] = field(repr=False)  # by zone, by column, by step
     notes: list[tuple[float, int, str]] = field(repr=False)  # seconds, sidecar, text
     # By cold server: samples of (seconds, fraction of its load limit).
-    cold: dict[int, list[tuple[float, float]]] = field(repr=False)
+    cold_loads: dict[int, list[tuple[float, float]]] = field(repr=False)
     breaches: list[str] = field(repr=False)
 
 
@@ -118,7 +118,10 @@
     """Returns the figures of a run and the latencies (ns) of the wishes that were done, warm-up left out."""
     scenario, workload = meter.scenario, meter.workload
     counted = workload.arrival_ns >= scenario.warmup * SECOND
-    outcomes, latencies = np.frombuffer(meter.how, dtype=np.int8), np.frombuffer(meter.took, dtype=np.int64)
+    outcomes, latencies = (
+        np.frombuffer(meter.outcomes, dtype=np.int8),
+        np.frombuffer(meter.latencies_ns, dtype=np.int64),
+    )
     earnings = meter.wish_earnings()
     late_earnings = np.array([terms.late_earnings for terms in scenario.offerings])[workload.offering]
     full_earnings = np.array([terms.earnings for terms in scenario.offerings])[workload.offering]
--- a/maddercart/lab/network.py
+++ b/maddercart/lab/network.py
@@ -31,7 +31,7 @@
             ]
             for source in names
         ]  # fmt: skip
-        self.base = [[delay_ms * MILLISECOND for delay_ms in row] for row in self.mean_ms]
+        self.base_delay_ns = [[delay_ms * MILLISECOND for delay_ms in row] for row in self.mean_ms]
         self.jitter_factors = lognormal_factors(random_stream(seed, "network"), settings.jitter)
         self.loss_draws = uniforms(random_stream(seed, "loss"))
 
@@ -40,11 +40,13 @@
         for source, row in enumerate(self.mean_ms):
             for destination, delay_ms in enumerate(row):
                 affected = source in zones or destination in zones
-                self.base[source][destination] = delay_ms * MILLISECOND * (factor if affected else 1.0)
+                self.base_delay_ns[source][destination] = (
+                    delay_ms * MILLISECOND * (factor if affected else 1.0)
+                )
 
     def delay(self, source: int, destination: int) -> int:
         """Draws the delay of one message between two zones, retransmissions included."""
-        total = int(self.base[source][destination] * next(self.jitter_factors))
+        total = int(self.base_delay_ns[source][destination] * next(self.jitter_factors))
         if self.loss_probability:
             timeout = self.retransmit_timeout_ns
             while next(self.loss_draws) < self.loss_probability and timeout < 64 * self.retransmit_timeout_ns:
--- a/maddercart/lab/plots.py
+++ b/maddercart/lab/plots.py
@@ -10,7 +10,7 @@
 from matplotlib import pyplot as plt
 from matplotlib.figure import Figure
 
-from maddercart.lab.meter import COLUMNS, STEP
+from maddercart.lab.meter import COLUMNS, STEP_SECONDS
 from maddercart.lab.results import Interval, point_label
 from maddercart.lab.runs import StoredRun
 from maddercart.lab.scenario import Scenario
@@ -89,8 +89,8 @@
     for zone, columns in enumerate(stored_run.lines):
         # The last step also holds all that came after the day's end.
         columns = [column[:-1] for column in columns]
-        axes, rates = panels[zone][0], np.array(columns, dtype=float) / STEP
-        seconds = np.arange(rates.shape[1]) * STEP
+        axes, rates = panels[zone][0], np.array(columns, dtype=float) / STEP_SECONDS
+        seconds = np.arange(rates.shape[1]) * STEP_SECONDS
         rates_by_outcome = [rates[COLUMNS.index(outcome)] for outcome in OUTCOME_COLOURS]
         axes.stackplot(
             seconds,
@@ -134,7 +134,7 @@
 def shade_troubles(axes: Any, scenario: Scenario, zone: str) -> None:
     zone_troubles = [trouble for trouble in scenario.troubles if trouble.zone in ("", zone)]
     for n, trouble in enumerate(zone_troubles):
-        axes.axvspan(trouble.start, scenario.ends(trouble), color="#c44e52", alpha=0.08, lw=0)
+        axes.axvspan(trouble.start, scenario.end_seconds(trouble), color="#c44e52", alpha=0.08, lw=0)
         transform, text = axes.get_xaxis_transform(), f" {trouble.kind}"
         axes.text(trouble.start, 1 - 0.12 * n, text, transform=transform, fontsize=7, va="top")
 
--- a/maddercart/lab/policies.py
+++ b/maddercart/lab/policies.py
@@ -20,19 +20,19 @@
     NEVER_RAN,
     READY,
     REDOABLE,
-    ColdRule,
+    BalancerOptions,
     Decision,
-    Entry,
+    ListEntry,
     Offering,
-    Permits,
-    Place,
     Report,
+    SidecarPosition,
+    SlowStartRule,
 )  # fmt: skip
-from maddercart.lab.servers import GOLDEN
+from maddercart.lab.servers import GOLDEN_RATIO_FRACTION
 from maddercart.policy.balancer import Balancer
 
 if TYPE_CHECKING:
-    from maddercart.lab.sidecars import Ask, Policy, Sidecar
+    from maddercart.lab.sidecars import Policy, Query, Sidecar
     from maddercart.lab.world import World
 
 NEVER = 1 << 62
@@ -60,17 +60,17 @@
     """
 
     def __init__(
-        self, now: int, seed: int, place: Place, offerings: Sequence[Offering], cold: ColdRule,
-        permits: Permits, quotas: Sequence[float] = (),
+        self, now: int, seed: int, place: SidecarPosition, offerings: Sequence[Offering], cold: SlowStartRule,
+        permits: BalancerOptions, quotas: Sequence[float] = (),
     ) -> None:  # fmt: skip
         self.random, self.zone, self.offerings, self.permits = Random(seed), place.zone, offerings, permits
-        self.entries: dict[int, Entry] = {}
-        self.candidates: list[Entry] = []  # ready, of the own zone; if there is none, all ready
+        self.entries: dict[int, ListEntry] = {}
+        self.candidates: list[ListEntry] = []  # ready, of the own zone; if there is none, all ready
         self.outstanding: dict[int, int] = {}
         self.queries: dict[int, PendingQuery] = {}
-        self.decisions: deque[Decision] = deque([("follow",)] if permits.follow else [])
+        self.decisions: deque[Decision] = deque([("follow",)] if permits.subscribes else [])
 
-    def learn(self, now: int, entries: Sequence[Entry], whole: bool) -> None:
+    def update_list(self, now: int, entries: Sequence[ListEntry], whole: bool) -> None:
         if whole:
             self.entries.clear()
         for entry in entries:
@@ -87,7 +87,7 @@
     def list_failed(self, now: int) -> None:
         self.decisions.append(("follow",))
 
-    def take(
+    def take_query(
         self, now: int, number: int, offering: int, remaining: int, waited: int = 0, party: int = -1,
         again: bool = False,
     ) -> None:  # fmt: skip
@@ -95,7 +95,7 @@
         self.dispatch_or_refuse(now, pending)
 
     def may_send(self, now: int, pending: PendingQuery) -> bool:
-        if now >= pending.hard_stop or len(pending.attempted) >= self.permits.dispatches:
+        if now >= pending.hard_stop or len(pending.attempted) >= self.permits.max_dispatches:
             return False
         return not pending.may_have_run or pending.terms.effect == REDOABLE
 
@@ -111,13 +111,17 @@
     def refuse(self, pending: PendingQuery) -> None:
         del self.queries[pending.number]
         terms = pending.terms
-        safe = terms.effect == REDOABLE or (terms.effect == LABELLED and terms.group == EVERYWHERE)
+        safe = terms.effect == REDOABLE or (
+            terms.effect == LABELLED and terms.deduplication_scope == EVERYWHERE
+        )
         bounce = safe or not pending.may_have_run
         self.decisions.append(
-            ("bounce", pending.number, self.permits.come_back // 2) if bounce else ("abort", pending.number)
+            ("bounce", pending.number, self.permits.max_retry_delay_ns // 2)
+            if bounce
+            else ("abort", pending.number)
         )
 
-    def outcome(
+    def dispatch_ended(
         self, now: int, number: int, upstream: int, shot: int, duration: int, outcome: int, ended: bool,
         report: Report | None,
     ) -> None:  # fmt: skip
@@ -136,19 +140,19 @@
     def dispatch_done(self, now: int, upstream: int, duration: int) -> None:
         """Hook: a dispatch ended with DONE after `duration` nanoseconds."""
 
-    def left(self, now: int, number: int) -> None:
+    def client_left(self, now: int, number: int) -> None:
         self.queries.pop(number, None)
 
-    def probed(self, now: int, upstream: int, ok: bool, duration: int, report: Report | None) -> None:
+    def probe_ended(self, now: int, upstream: int, ok: bool, duration: int, report: Report | None) -> None:
         """Does nothing: baselines send no probes."""
 
-    def woken(self, now: int) -> None:
+    def timer_fired(self, now: int) -> None:
         """Does nothing: baselines set no timers."""
 
-    def decide(self, now: int) -> Decision | None:
+    def next_decision(self, now: int) -> Decision | None:
         return self.decisions.popleft() if self.decisions else None
 
-    def untried_candidates(self, pending: PendingQuery) -> list[Entry]:
+    def untried_candidates(self, pending: PendingQuery) -> list[ListEntry]:
         """The candidates without a dispatch of this query; all of them if each has had one."""
         if not pending.attempted:
             return self.candidates
@@ -222,7 +226,7 @@
         first, second = self.random.sample(untried, 2)
         return first.upstream if self.load(first) <= self.load(second) else second.upstream
 
-    def load(self, entry: Entry) -> float:
+    def load(self, entry: ListEntry) -> float:
         return self.outstanding.get(entry.upstream, 0) / entry.size
 
 
@@ -265,7 +269,7 @@
     LOW_EARNINGS_FACTOR = 0.6
 
     world: "World"
-    held_queries: "dict[int, Ask]"
+    held_queries: "dict[int, Query]"
 
     def candidates_changed(self) -> None:
         self.best_earnings = max((terms.earnings for terms in self.offerings), default=1.0)
@@ -274,8 +278,8 @@
         world, query = self.world, self.held_queries.get(pending.number)
         if query is None:
             return -1
-        base_delays, dispatch_index = world.network.base, len(pending.attempted)
-        best, shortest = -1, pending.terms.agreed - (now - query.first)
+        base_delays, dispatch_index = world.network.base_delay_ns, len(pending.attempted)
+        best, shortest = -1, pending.terms.agreed_time_ns - (now - query.first_try_at)
         if pending.terms.earnings < self.best_earnings:
             shortest = int(shortest * self.LOW_EARNINGS_FACTOR)
         for server in world.servers:
@@ -287,24 +291,29 @@
                 or not server.reachable()
             ):
                 continue
-            if server.failing and (query.luck + dispatch_index * GOLDEN) % 1 < server.failing:
+            if (
+                server.failure_share
+                and (query.failure_draw + dispatch_index * GOLDEN_RATIO_FRACTION) % 1 < server.failure_share
+            ):
                 continue
             expected_duration = base_delays[self.zone][server.zone] + base_delays[server.zone][self.zone]
-            rate = server.rate(now)
-            if server.coming >= server.cores:
+            rate = server.work_rate(now)
+            if server.assigned_count >= server.cores:
                 expected_duration += (
-                    server.backlog
-                    * (server.coming - server.cores + 1)
-                    / server.coming
+                    server.assigned_work_ns
+                    * (server.assigned_count - server.cores + 1)
+                    / server.assigned_count
                     / (rate * server.cores)
                 )
             slowdown = 1 + server.crowd_cost * max(
-                0.0, (server.coming + 1) / server.cores - server.crowd_from
+                0.0, (server.assigned_count + 1) / server.cores - server.crowd_from
             )
-            expected_duration += query.work * slowdown / rate
-            if server.coming >= server.cores + server.room or expected_duration >= shortest:
+            expected_duration += query.work_ns * slowdown / rate
+            if server.assigned_count >= server.cores + server.queue_capacity or expected_duration >= shortest:
                 continue
-            if now - server.launched < server.ramp and not world.may_feed(now, server, query.work):
+            if now - server.started_cold_at < server.ramp_ns and not world.admit_cold_work(
+                now, server, query.work_ns
+            ):
                 continue
             best, shortest = server.number, int(expected_duration)
         return best
@@ -323,7 +332,7 @@
 
 def make_oracle(world: "World", sidecar: "Sidecar", **arguments: Any) -> "Policy":
     oracle = Oracle(**arguments)
-    oracle.world, oracle.held_queries = world, sidecar.held
+    oracle.world, oracle.held_queries = world, sidecar.queries
     return oracle
 
 
--- a/maddercart/lab/referee.py
+++ b/maddercart/lab/referee.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class EffectRules:
     """Effect of an offering, the group of servers that drops its repeats, and for how long (nanoseconds).
 
     `effect` and `group` hold the numbers of the constants above.
@@ -70,8 +70,8 @@
 
     `places` holds the zone and cell of each server. `grace` is how long a dispatch may still be sent after
     the notice of a drain, in nanoseconds. Within `window` nanoseconds a cold server may receive `multiple`
-    times the work that it can do in that time. `count` is the number of all breaches; `breaches` holds the
-    first `MAX_KEPT_BREACHES` of them.
+    times the work that it can do in that time. `breach_count` is the number of all breaches; `breaches` holds
+    the first `MAX_KEPT_BREACHES` of them.
     """
 
     MAX_KEPT_BREACHES = 100
@@ -79,7 +79,7 @@
 
     def __init__(
         self,
-        offerings: Sequence[Terms],
+        offerings: Sequence[EffectRules],
         places: Sequence[tuple[int, int]],
         grace: int,
         multiple: float,
@@ -99,19 +99,21 @@
         self.not_ready_since: dict[int, dict[int, int]] = {}
         self.pauses: dict[int, list[tuple[int, int]]] = {}  # by sidecar: start, end
         self.cold_arrivals: dict[int, deque[tuple[int, float]]] = {}  # by server: instant, work
-        self.cold_sums: dict[int, float] = {}  # by server: total of `cold_arrivals`
-        self.cold_most = 0.0  # highest load of a cold server, as a part of its limit
+        self.cold_work_ns: dict[int, float] = {}  # by server: total of `cold_arrivals`
+        self.peak_cold_load = 0.0  # highest load of a cold server, as a part of its limit
         self.breaches: list[Breach] = []
-        self.count = 0
+        self.breach_count = 0
 
     def record_breach(self, rule: int, text: str) -> None:
-        self.count += 1
+        self.breach_count += 1
         if len(self.breaches) < self.MAX_KEPT_BREACHES:
             self.breaches.append(Breach(rule, text))
 
     # -- rule 1: one final answer, before the hard stop, and no dispatch after it
 
-    def taken(self, now: int, number: int, wish: int, offering: int, hard_stop: int, sidecar: int) -> None:
+    def record_query(
+        self, now: int, number: int, wish: int, offering: int, hard_stop: int, sidecar: int
+    ) -> None:
         self.queries[number] = QueryRecord(now, wish, offering, hard_stop, sidecar)
         self.query_order.append(number)
         while self.query_order and (oldest := self.queries.get(self.query_order[0])) is not None:
@@ -134,7 +136,7 @@
             end > record.taken_at and start <= until for start, end in self.pauses.get(record.sidecar, ())
         )
 
-    def answered(self, now: int, number: int, how: str) -> None:
+    def record_answer(self, now: int, number: int, how: str) -> None:
         record = self.queries.get(number)
         if record is None:
             return self.record_breach(
@@ -157,23 +159,25 @@
         if how == "bounce":
             self.check_bounce(now, number, record)
 
-    def left(self, now: int, number: int) -> None:
+    def record_client_gone(self, now: int, number: int) -> None:
         """Notes that the client has gone and is owed no answer."""
         if (record := self.queries.get(number)) is not None and record.answer is None:
             record.answer = (now, "left")
 
-    def restarted(self, sidecar: int) -> None:
+    def record_restart(self, sidecar: int) -> None:
         """Excuses the queries that the sidecar held: they ended with its process, so no answer is owed."""
         for record in self.queries.values():
             if record.sidecar == sidecar and record.answer is None:
                 record.answer = (record.hard_stop, "lost")
         self.not_ready_since.pop(sidecar, None)
 
-    def stood_still(self, sidecar: int, start: int, end: int) -> None:
+    def record_pause(self, sidecar: int, start: int, end: int) -> None:
         """Notes a pause of the sidecar's process, which excuses late answers."""
         self.pauses.setdefault(sidecar, []).append((start, end))
 
-    def sent(self, now: int, number: int, dispatch_index: int, server: int, sidecar: int, zone: int) -> None:
+    def record_dispatch(
+        self, now: int, number: int, dispatch_index: int, server: int, sidecar: int, zone: int
+    ) -> None:
         record = self.queries.get(number)
         if record is None:
             return self.record_breach(
@@ -243,12 +247,12 @@
             f"{possible_runs[0][0]} since {seconds(possible_runs[0][3])}",
         )
 
-    def ended(self, number: int, dispatch_index: int, outcome: int) -> None:
+    def record_outcome(self, number: int, dispatch_index: int, outcome: int) -> None:
         """Notes the outcome of a dispatch, by its number in maddercart/interface.py."""
         if (record := self.queries.get(number)) is not None and dispatch_index < len(record.dispatches):
             record.dispatches[dispatch_index][4] = outcome
 
-    def ran(self, now: int, wish: int, number: int, server: int, offering: int) -> None:
+    def record_effect(self, now: int, wish: int, number: int, server: int, offering: int) -> None:
         """Notes a run that took effect. Not called for a repeat that the server dropped."""
         if self.offerings[offering].effect == REDOABLE:
             return
@@ -262,7 +266,7 @@
 
     # -- rule 3: no new dispatch to a server that drains or is gone, once the grace has passed
 
-    def told(self, now: int, sidecar: int, entries: Sequence[tuple], whole: bool) -> None:  # type: ignore[type-arg]
+    def record_list_update(self, now: int, sidecar: int, entries: Sequence[tuple], whole: bool) -> None:  # type: ignore[type-arg]
         """Notes a list update that reached a sidecar; with `whole`, servers that are not on it are gone."""
         not_ready = self.not_ready_since.setdefault(sidecar, {})
         if whole:
@@ -279,7 +283,7 @@
 
     # -- rule 4: no cold server overloaded
 
-    def came_cold(self, now: int, server: int, work: float, capacity: float, number: int) -> None:
+    def record_cold_arrival(self, now: int, server: int, work: float, capacity: float, number: int) -> None:
         """Notes the arrival of a query at a cold server; the queries of all sidecars count.
 
         `work` and `capacity` are nanoseconds on a warm core; `capacity` is the work that a server of this age
@@ -287,13 +291,13 @@
         """
         arrivals = self.cold_arrivals.setdefault(server, deque())
         arrivals.append((now, work))
-        total_work = self.cold_sums.get(server, 0.0) + work
+        total_work = self.cold_work_ns.get(server, 0.0) + work
         while arrivals[0][0] <= now - self.cold_window:
             total_work -= arrivals.popleft()[1]
-        self.cold_sums[server] = total_work
+        self.cold_work_ns[server] = total_work
         load = total_work / (self.cold_multiple * capacity)
         if len(arrivals) > 1:  # a single query may exceed the limit by itself
-            self.cold_most = max(self.cold_most, load)
+            self.peak_cold_load = max(self.peak_cold_load, load)
             if load > 1:
                 self.record_breach(
                     4,
@@ -301,7 +305,7 @@
                     f"{len(arrivals)} within {seconds(self.cold_window)}: {load:.2f} of the limit",
                 )
 
-    def close(self, now: int) -> None:
+    def finish(self, now: int) -> None:
         """Ends the day: each query whose hard stop has passed must have its answer."""
         for number in list(self.query_order):
             record = self.queries.get(number)
--- a/maddercart/lab/results.py
+++ b/maddercart/lab/results.py
@@ -10,7 +10,7 @@
 from scipy import stats
 
 from maddercart.lab.experiment import Experiment, Run, Value
-from maddercart.lab.meter import COLUMNS, STEP
+from maddercart.lab.meter import COLUMNS, STEP_SECONDS
 from maddercart.lab.runs import StoredRun, read_stored_run, write_atomically
 from maddercart.lab.scenario import ScenarioError
 
@@ -29,7 +29,7 @@
         return f"{self.mean:.3f} ± {self.plus_minus:.3f}" if self.count > 1 else f"{self.mean:.3f}"
 
 
-def interval(values: Iterable[float]) -> Interval:
+def confidence_interval(values: Iterable[float]) -> Interval:
     """Student's t interval of the mean; the values must be independent. The mean of no values is NaN."""
     samples = np.asarray(list(values), dtype=np.float64)
     if len(samples) < 2:
@@ -70,7 +70,7 @@
         for zone, columns in enumerate(stored_run.lines):
             result.append(
                 pl.DataFrame(dict(zip(COLUMNS, columns, strict=True))).with_columns(
-                    at=pl.int_range(0, len(columns[0])) * STEP, zone=pl.lit(zone),
+                    at=pl.int_range(0, len(columns[0])) * STEP_SECONDS, zone=pl.lit(zone),
                     scenario=pl.lit(stored_run.scenario),
                     point=pl.lit(point_label(stored_run.point)), policy=pl.lit(stored_run.figures["policy"]),
                     seed=pl.lit(stored_run.figures["seed"]),
@@ -132,7 +132,9 @@
     for (scenario, point, policy), group in table.group_by(
         ["scenario", "point", "policy"], maintain_order=True
     ):
-        result.setdefault((str(scenario), str(point)), {})[str(policy)] = interval(group[figure].to_list())
+        result.setdefault((str(scenario), str(point)), {})[str(policy)] = confidence_interval(
+            group[figure].to_list()
+        )
     return result
 
 
@@ -145,7 +147,7 @@
         more=pl.col(f"{figure}_two") - pl.col(figure)
     )
     return [
-        (str(scenario), str(point), str(policy), interval(group["more"].to_list()))
+        (str(scenario), str(point), str(policy), confidence_interval(group["more"].to_list()))
         for (scenario, point, policy), group in joined.group_by(
             ["scenario", "point", "policy"], maintain_order=True
         )
--- a/maddercart/lab/runs.py
+++ b/maddercart/lab/runs.py
@@ -46,8 +46,8 @@
 
 def make_stored_run(run: Run, run_id: str, result: Result) -> StoredRun:
     return StoredRun(
-        run_id, run.name, run.point, result.figures, latency_histogram(result.took).encode().decode(),
-        result.lines, result.notes[:2000], result.cold, result.breaches,
+        run_id, run.name, run.point, result.figures, latency_histogram(result.latencies_ns).encode().decode(),
+        result.timelines, result.notes[:2000], result.cold_loads, result.breaches,
     )  # fmt: skip
 
 
@@ -55,7 +55,7 @@
     """Simulates one run. Each run needs a new process, since its memory figure is that of the process."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent process handles it
     try:
-        return make_stored_run(run, run_id, World(run.scenario, run.seed, run.policy).play())
+        return make_stored_run(run, run_id, World(run.scenario, run.seed, run.policy).run())
     except Exception:
         return StoredRun(run_id, run.name, run.point, {"policy": run.policy, "seed": run.seed},
                          "", [], [], {}, [], failed=traceback.format_exc())  # fmt: skip
--- a/maddercart/lab/scenario.py
+++ b/maddercart/lab/scenario.py
@@ -177,11 +177,11 @@
     tenants: list[Tenant] = []
     troubles: list[Trouble] = []
 
-    def zone(self, name: str) -> int:
+    def zone_index(self, name: str) -> int:
         """The index of a zone. Raises ValueError for an unknown name."""
         return [zone.name for zone in self.zones].index(name)
 
-    def ends(self, of: Flow | Trouble) -> float:
+    def end_seconds(self, of: Flow | Trouble) -> float:
         """The end of a flow or trouble, in seconds; 0 stands for the end of the day."""
         return of.end or self.seconds
 
@@ -221,7 +221,7 @@
         *flows,
         *((f"troubles[{n}]", item) for n, item in enumerate(scenario.troubles)),
     ]:
-        end = scenario.ends(entry)
+        end = scenario.end_seconds(entry)
         if entry.zone and entry.zone not in zones:
             errors.append((f"{path}.zone", f"there is no zone {entry.zone!r}, only {', '.join(zones)}"))
         if entry.start >= end:
@@ -243,7 +243,7 @@
     return errors
 
 
-def convert(tree: dict[str, Any], source: str) -> Scenario:
+def parse_scenario(tree: dict[str, Any], source: str) -> Scenario:
     """Validates a TOML tree. Raises ScenarioError with `source`, the key and the reason."""
     try:
         scenario = msgspec.convert(tree, Scenario)
@@ -288,7 +288,7 @@
 
 
 def read(name: str) -> Scenario:
-    return convert(*read_tree(name))
+    return parse_scenario(*read_tree(name))
 
 
 def shipped() -> list[str]:
--- a/maddercart/lab/servers.py
+++ b/maddercart/lab/servers.py
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from maddercart.interface import DONE, ERROR, FULL, GONE, MILLISECOND, READY, RESET, SECOND, Report
+from maddercart.interface import DONE, FAILED, GONE, MILLISECOND, READY, REJECTED, RESET, SECOND, Report
 from maddercart.lab.scenario import Kind, Scenario
 
 if TYPE_CHECKING:
@@ -14,11 +14,11 @@
     from maddercart.lab.world import World
 
 # Fractional part of the golden ratio: spreads the one draw of a query evenly over its dispatches.
-GOLDEN = 0.6180339887498949
+GOLDEN_RATIO_FRACTION = 0.6180339887498949
 
 
 class Server:
-    """Runs up to `cores` queries at once, first come, first served, and queues up to `room` more.
+    """Runs up to `cores` queries at once, first come, first served, and queues up to `queue_capacity` more.
 
     Its attributes are the true state; policies learn of it only from answers, reports and the server list.
     """
@@ -33,22 +33,22 @@
             cell,
             kind,
         )
-        self.cores, self.room, self.speed, self.size = (
+        self.cores, self.queue_capacity, self.speed, self.size = (
             machine.cores,
             machine.room,
             machine.speed,
             machine.size,
         )
         self.cold_settings, self.settings = scenario.cold, scenario.servers
-        self.ramp = round(self.cold_settings.ramp * SECOND)
+        self.ramp_ns = round(self.cold_settings.ramp * SECOND)
         self.refusal_ns = round(self.settings.refusal_ms * MILLISECOND)
         self.condition = READY  # as published in the server list
-        self.launched = -(1 << 60)  # when it started cold; this value: fully warm
+        self.started_cold_at = -(1 << 60)  # when it started cold; this value: fully warm
         self.incarnation = 0  # counts the restarts of its process
         # Whether the process runs; whether it answers nothing; whether its zone is partitioned.
         self.up, self.silent, self.partitioned = True, False, False
         # Factor on the time that work takes; share of the queries that fail.
-        self.slowdown, self.failing = 1.0, 0.0
+        self.slowdown, self.failure_share = 1.0, 0.0
         self.crowd_from, self.crowd_cost = self.settings.crowd_from, self.settings.crowd_cost
         self.queue: deque[Dispatch] = deque()
         self.running: dict[Dispatch, None] = {}
@@ -66,18 +66,18 @@
             self.started_count,
         ) = 0, 0, 0, 0, 0, 0
         # Dispatches in flight to it or held, and their work in ns: read by the "bound" policy.
-        self.coming, self.backlog = 0, 0
+        self.assigned_count, self.assigned_work_ns = 0, 0
 
     # -- capacity and state
 
     def warm_fraction(self, now: int) -> float:
         """Its capacity as a fraction of that of a warm server."""
-        age = now - self.launched
-        if age >= self.ramp:
+        age = now - self.started_cold_at
+        if age >= self.ramp_ns:
             return 1.0
-        return self.cold_settings.start + (1 - self.cold_settings.start) * max(0, age) / self.ramp
+        return self.cold_settings.start + (1 - self.cold_settings.start) * max(0, age) / self.ramp_ns
 
-    def rate(self, now: int) -> float:
+    def work_rate(self, now: int) -> float:
         """Work done per nanosecond on one core, without the effect of crowding."""
         connection_share = min(0.9, self.connections * self.settings.connection_cost / self.cores)
         return self.speed * self.warm_fraction(now) * (1 - connection_share) / self.slowdown
@@ -104,18 +104,24 @@
             return  # no reply ever arrives
         if not self.up or dispatch.server_incarnation != self.incarnation:
             return self.reply(dispatch, RESET)
-        if now - self.launched < self.ramp:
+        if now - self.started_cold_at < self.ramp_ns:
             capacity = world.cold_capacity(self, now)
-            world.referee.came_cold(now, self.number, dispatch.query.work, capacity, dispatch.query.number)
-        if self.failing and (dispatch.query.luck + dispatch.shot * GOLDEN) % 1 < self.failing:
-            if (dispatch.query.luck * 7919) % 1 < 0.5:  # half of the failing queries run before they fail
+            world.referee.record_cold_arrival(
+                now, self.number, dispatch.query.work_ns, capacity, dispatch.query.number
+            )
+        if (
+            self.failure_share
+            and (dispatch.query.failure_draw + dispatch.shot * GOLDEN_RATIO_FRACTION) % 1 < self.failure_share
+        ):
+            # half of the failing queries run before they fail
+            if (dispatch.query.failure_draw * 7919) % 1 < 0.5:
                 world.begin_execution(self, dispatch)
-            return self.engine.at(
-                now + self.refusal_ns, self.send_failure, (dispatch, ERROR, self.incarnation)
+            return self.engine.schedule(
+                now + self.refusal_ns, self.send_failure, (dispatch, FAILED, self.incarnation)
             )
-        if len(self.running) >= self.cores and len(self.queue) >= self.room:
-            return self.engine.at(
-                now + self.refusal_ns, self.send_failure, (dispatch, FULL, self.incarnation)
+        if len(self.running) >= self.cores and len(self.queue) >= self.queue_capacity:
+            return self.engine.schedule(
+                now + self.refusal_ns, self.send_failure, (dispatch, REJECTED, self.incarnation)
             )
         self.update_occupancy()
         self.admitted_count += 1
@@ -131,10 +137,10 @@
         self.started_count += 1
         self.total_wait_ns += now - dispatch.arrived_at
         # A dropped repeat costs only the lookup of its key.
-        work = dispatch.query.work if self.world.begin_execution(self, dispatch) else MILLISECOND
+        work = dispatch.query.work_ns if self.world.begin_execution(self, dispatch) else MILLISECOND
         crowding = 1 + self.crowd_cost * max(0.0, self.held_count() / self.cores - self.crowd_from)
-        duration = int(work * crowding / self.rate(now))
-        self.engine.at(now + duration, self.finish, (dispatch, self.incarnation))
+        duration = int(work * crowding / self.work_rate(now))
+        self.engine.schedule(now + duration, self.finish, (dispatch, self.incarnation))
 
     def finish(self, arguments: tuple["Dispatch", int]) -> None:
         dispatch, incarnation = arguments
@@ -166,11 +172,11 @@
         if self.partitioned:
             return
         dispatch.report = (
-            self.current_report() if self.settings.reports and outcome in (DONE, ERROR, FULL) else None
+            self.current_report() if self.settings.reports and outcome in (DONE, FAILED, REJECTED) else None
         )
         dispatch.outcome = outcome
         sidecar = dispatch.sidecar
-        self.engine.at(
+        self.engine.schedule(
             self.engine.now + self.world.network.delay(self.zone, sidecar.zone),
             sidecar.receive_reply,
             dispatch,
@@ -201,7 +207,7 @@
     def boot(self, cold: bool) -> None:
         """Starts a process, cold or fully warm."""
         self.up, self.condition = True, READY
-        self.launched = self.engine.now if cold else -(1 << 60)
+        self.started_cold_at = self.engine.now if cold else -(1 << 60)
         self.report_made_at = -(1 << 60)
 
     def shut_down(self) -> None:
--- a/maddercart/lab/sidecars.py
+++ b/maddercart/lab/sidecars.py
@@ -8,16 +8,16 @@
 from maddercart.interface import (
     CANCELLED,
     DONE,
-    FULL,
     GONE,
     MILLISECOND,
-    MOOT,
+    NOT_WRITTEN,
     READY,
+    REJECTED,
     SECOND,
     TIMED_OUT,
     UNREACHABLE,
     Decision,
-    Entry,
+    ListEntry,
     Report,
 )  # fmt: skip
 from maddercart.lab.servers import Server
@@ -29,26 +29,29 @@
 class Policy(Protocol):
     """The interface documented in `interface.py`, implemented by `Balancer` and by the baseline policies."""
 
-    def learn(self, now: int, entries: list[Entry], whole: bool) -> None: ...
+    def update_list(self, now: int, entries: list[ListEntry], whole: bool) -> None: ...
     def list_failed(self, now: int) -> None: ...
-    def take(
+    def take_query(
         self, now: int, number: int, offering: int, remaining: int, waited: int = 0, party: int = -1,
         again: bool = False,
     ) -> None: ...  # fmt: skip
-    def outcome(
+    def dispatch_ended(
         self, now: int, number: int, upstream: int, shot: int, duration: int, outcome: int, ended: bool,
         report: Report | None,
     ) -> None: ...  # fmt: skip
-    def left(self, now: int, number: int) -> None: ...
-    def probed(self, now: int, upstream: int, ok: bool, duration: int, report: Report | None) -> None: ...
-    def woken(self, now: int) -> None: ...
-    def decide(self, now: int) -> Decision | None: ...
+    def client_left(self, now: int, number: int) -> None: ...
+    def probe_ended(
+        self, now: int, upstream: int, ok: bool, duration: int, report: Report | None
+    ) -> None: ...
+    def timer_fired(self, now: int) -> None: ...
+    def next_decision(self, now: int) -> Decision | None: ...
 
 
-class Ask:
+class Query:
     """One query: a single try at a wish.
 
-    A wish is what a client wants; all its tries share the wish's number, `offering`, `work` and `luck`.
+    A wish is what a client wants; all its tries share the wish's number, `offering`, `work_ns` and
+    `failure_draw`.
 
     Attributes:
         sent_at: When the client sent this query.
@@ -63,13 +66,24 @@
     """
 
     __slots__ = (
-        "dispatch_count", "finished", "first", "hard_stop_at", "luck", "number", "offering", "sent_at",
-        "sidecar", "tenant", "try_number", "wish", "work",
+        "dispatch_count",
+        "failure_draw",
+        "finished",
+        "first_try_at",
+        "hard_stop_at",
+        "number",
+        "offering",
+        "sent_at",
+        "sidecar",
+        "tenant",
+        "try_number",
+        "wish",
+        "work_ns",
     )  # fmt: skip
 
     def __init__(
-        self, number: int, wish: int, sidecar: "Sidecar", offering: int, tenant: int, work: int, luck: float,
-        sent_at: int, hard_stop_at: int, first: int, try_number: int,
+        self, number: int, wish: int, sidecar: "Sidecar", offering: int, tenant: int, work_ns: int,
+        failure_draw: float, sent_at: int, hard_stop_at: int, first_try_at: int, try_number: int,
     ) -> None:  # fmt: skip
         self.number, self.wish, self.sidecar, self.offering, self.tenant = (
             number,
@@ -78,12 +92,19 @@
             offering,
             tenant,
         )
-        self.work, self.luck, self.sent_at, self.hard_stop_at, self.first, self.try_number = (
-            work,
-            luck,
+        (
+            self.work_ns,
+            self.failure_draw,
+            self.sent_at,
+            self.hard_stop_at,
+            self.first_try_at,
+            self.try_number,
+        ) = (
+            work_ns,
+            failure_draw,
             sent_at,
             hard_stop_at,
-            first,
+            first_try_at,
             try_number,
         )
         self.finished = False
@@ -106,7 +127,7 @@
         "shot", "sidecar",
     )  # fmt: skip
 
-    def __init__(self, query: Ask, sidecar: "Sidecar", server: Server, shot: int, sent_at: int) -> None:
+    def __init__(self, query: Query, sidecar: "Sidecar", server: Server, shot: int, sent_at: int) -> None:
         self.query, self.sidecar, self.server, self.shot, self.sent_at = query, sidecar, server, shot, sent_at
         self.server_incarnation, self.finished = server.incarnation, False
         self.arrived_at, self.outcome = 0, 0
@@ -143,8 +164,8 @@
         self.subscribes = world.scenario.listed.mode == "ask"
         self.subscribed, self.list_version, self.list_delivery_at = not self.subscribes, 0, 0
         # Its last list, by server: the only state that survives a restart.
-        self.cached_entries: dict[int, Entry] = {}
-        self.held: dict[int, Ask] = {}
+        self.cached_entries: dict[int, ListEntry] = {}
+        self.queries: dict[int, Query] = {}
         self.in_flight: dict[tuple[int, int], Dispatch] = {}  # by query and shot
         self.pools: dict[int, ConnectionPool] = {}
         self.paused_until = 0  # end of the latest pause
@@ -159,11 +180,11 @@
         """Postpones an event to the end of the pause, in order. Returns False if not paused."""
         if self.paused_until <= self.engine.now:
             return False
-        self.engine.at(self.paused_until, callback, argument)
+        self.engine.schedule(self.paused_until, callback, argument)
         return True
 
     def pause(self, until: int) -> None:
-        self.world.referee.stood_still(self.number, self.engine.now, until)
+        self.world.referee.record_pause(self.number, self.engine.now, until)
         self.paused_until = until
 
     def restart(self) -> None:
@@ -174,18 +195,18 @@
             self.world.dispatch_ended(dispatch)
         for server_number in list(self.pools):
             self.close_connections(server_number)
-        lost_queries = list(self.held.values())
-        self.held.clear()
+        lost_queries = list(self.queries.values())
+        self.queries.clear()
         self.in_flight.clear()
-        self.world.referee.restarted(self.number)
+        self.world.referee.record_restart(self.number)
         self.policy = self.world.create_policy(self)
         self.subscribed = not self.subscribes
-        self.policy.learn(self.engine.now, list(self.cached_entries.values()), True)
+        self.policy.update_list(self.engine.now, list(self.cached_entries.values()), True)
         self.execute_decisions()
         for query in lost_queries:
             self.world.clients.connection_lost(query)
 
-    def receive_list(self, arguments: tuple[list[Entry], bool, int, int]) -> None:
+    def receive_list(self, arguments: tuple[list[ListEntry], bool, int, int]) -> None:
         """Handles a list update: (entries, whether it is the whole list, incarnation, when it was sent)."""
         if self.defer_while_paused(self.receive_list, arguments):
             return
@@ -200,8 +221,8 @@
                 self.cached_entries.pop(entry.upstream, None)
             else:
                 self.cached_entries[entry.upstream] = entry
-        self.world.referee.told(now, self.number, entries, whole)
-        self.policy.learn(now, entries, whole)
+        self.world.referee.record_list_update(now, self.number, entries, whole)
+        self.policy.update_list(now, entries, whole)
         self.execute_decisions()
 
     def list_unavailable(self, incarnation: int) -> None:
@@ -210,18 +231,18 @@
         self.policy.list_failed(self.engine.now)
         self.execute_decisions()
 
-    def receive_query(self, query: Ask) -> None:
+    def receive_query(self, query: Query) -> None:
         if self.defer_while_paused(self.receive_query, query):
             return
         now = self.engine.now
         if query.finished:
             return  # its client left before the sidecar read it
-        self.held[query.number] = query
-        self.world.referee.taken(
+        self.queries[query.number] = query
+        self.world.referee.record_query(
             now, query.number, query.wish, query.offering, query.hard_stop_at, self.number
         )
         self.world.record_event(now, 1, query.number, self.number)
-        self.policy.take(
+        self.policy.take_query(
             now,
             query.number,
             query.offering,
@@ -232,18 +253,18 @@
         )
         self.execute_decisions()
 
-    def client_left(self, query: Ask) -> None:
+    def client_left(self, query: Query) -> None:
         if self.defer_while_paused(self.client_left, query):
             return
-        if self.held.pop(query.number, None) is not None:
-            self.world.referee.left(self.engine.now, query.number)
-            self.policy.left(self.engine.now, query.number)
+        if self.queries.pop(query.number, None) is not None:
+            self.world.referee.record_client_gone(self.engine.now, query.number)
+            self.policy.client_left(self.engine.now, query.number)
             self.execute_decisions()
 
     def wake(self, incarnation: int) -> None:
         if self.defer_while_paused(self.wake, incarnation) or incarnation != self.incarnation:
             return
-        self.policy.woken(self.engine.now)
+        self.policy.timer_fired(self.engine.now)
         self.execute_decisions()
 
     def receive_reply(self, dispatch: Dispatch) -> None:
@@ -262,15 +283,15 @@
     def finish_dispatch(self, dispatch: Dispatch, outcome: int) -> None:
         now, query = self.engine.now, dispatch.query
         self.release_dispatch(dispatch, outcome)
-        self.world.referee.ended(query.number, dispatch.shot, outcome)
+        self.world.referee.record_outcome(query.number, dispatch.shot, outcome)
         self.world.record_event(now, 4, query.number * 8 + dispatch.shot, outcome)
         if self.world.story is not None:
             self.world.story.dispatch_ended(now, dispatch, outcome)
-        if outcome == DONE and self.held.pop(query.number, None) is not None:
+        if outcome == DONE and self.queries.pop(query.number, None) is not None:
             self.answer(query, "done", 0)
-        self.policy.outcome(
+        self.policy.dispatch_ended(
             now, query.number, dispatch.server.number, dispatch.shot, now - dispatch.sent_at, outcome,
-            query.number not in self.held, dispatch.report,
+            query.number not in self.queries, dispatch.report,
         )  # fmt: skip
         self.execute_decisions()
 
@@ -282,10 +303,10 @@
         if pool is None or pool.server_incarnation != dispatch.server_incarnation:
             return
         pool.active_dispatches -= 1
-        if outcome in (DONE, FULL) or self.streams_per_connection > 1:
+        if outcome in (DONE, REJECTED) or self.streams_per_connection > 1:
             if not pool.active_dispatches and not pool.idle_timer_set:
                 pool.idle_timer_set = True
-                self.engine.at(
+                self.engine.schedule(
                     self.engine.now + self.idle_timeout_ns, self.idle_expired, (dispatch.server.number, pool)
                 )
         elif outcome != UNREACHABLE and pool.open_connections:
@@ -309,18 +330,18 @@
 
     def execute_decisions(self) -> None:
         """Executes the policy's decisions until there are none left."""
-        now, decide = self.engine.now, self.policy.decide
+        now, decide = self.engine.now, self.policy.next_decision
         cancelled: list[Dispatch] = []
         while (decision := decide(now)) is not None:
             verb = decision[0]
             if verb == "dispatch":
                 self.dispatch(now, decision)
             elif verb == "wake":
-                self.engine.at(now + int(decision[1]), self.wake, self.incarnation)
+                self.engine.schedule(now + int(decision[1]), self.wake, self.incarnation)
             elif verb in ("bounce", "abort"):
-                query = self.held.pop(int(decision[1]), None)
+                query = self.queries.pop(int(decision[1]), None)
                 if query is None:
-                    self.world.referee.answered(now, int(decision[1]), str(verb))
+                    self.world.referee.record_answer(now, int(decision[1]), str(verb))
                 else:
                     self.answer(query, str(verb), int(decision[2]) if verb == "bounce" else 0)
             elif verb == "cancel":
@@ -331,23 +352,23 @@
             elif verb == "probe":
                 self.probe(now, int(decision[1]))
             elif verb == "follow":
-                self.engine.at(now, self.world.discovery.subscribe, self)
+                self.engine.schedule(now, self.world.discovery.subscribe, self)
             elif verb == "note":
                 self.world.policy_note(now, self.number, str(decision[1]))
             else:
                 raise TypeError(f"unknown decision {decision!r}")
         # The policy gets the outcomes of cancelled dispatches after all its decisions have been pulled.
         for dispatch in cancelled:
-            self.policy.outcome(
+            self.policy.dispatch_ended(
                 now, dispatch.query.number, dispatch.server.number, dispatch.shot, now - dispatch.sent_at,
-                CANCELLED, dispatch.query.number not in self.held, None,
+                CANCELLED, dispatch.query.number not in self.queries, None,
             )  # fmt: skip
         if cancelled:
             self.execute_decisions()
 
-    def answer(self, query: Ask, outcome: str, retry_after: int) -> None:
+    def answer(self, query: Query, outcome: str, retry_after: int) -> None:
         now = self.engine.now
-        self.world.referee.answered(now, query.number, outcome)
+        self.world.referee.record_answer(now, query.number, outcome)
         self.world.record_event(now, 5, query.number, {"done": 1, "bounce": 2, "abort": 3}[outcome])
         if self.world.story is not None:
             self.world.story.query_answered(now, query, outcome, retry_after)
@@ -355,16 +376,16 @@
 
     def dispatch(self, now: int, decision: Decision) -> None:
         _, number, upstream, timeout = decision
-        query = self.held.get(int(number))
+        query = self.queries.get(int(number))
         server = self.world.find_server(int(upstream))
         if query is None or server is None:  # invalid decision: the referee reports the breach
-            self.world.referee.sent(now, int(number), -1, int(upstream), self.number, self.zone)
+            self.world.referee.record_dispatch(now, int(number), -1, int(upstream), self.number, self.zone)
             return
         shot, query.dispatch_count = query.dispatch_count, query.dispatch_count + 1
         dispatch = Dispatch(query, self, server, shot, now)
         self.in_flight[query.number, shot] = dispatch
         self.world.dispatch_sent(now, dispatch)
-        self.engine.at(now + int(timeout), self.timed_out, dispatch)
+        self.engine.schedule(now + int(timeout), self.timed_out, dispatch)
         pool = self.pools.get(server.number)
         if pool is None or pool.server_incarnation != server.incarnation:
             pool = self.pools[server.number] = ConnectionPool(server.incarnation)
@@ -373,24 +394,24 @@
         # A dispatch that needs a new connection takes one more round trip.
         if pool.active_dispatches >= pool.open_connections * self.streams_per_connection:
             if server.partitioned or (server.silent and server.up):
-                self.engine.at(now + self.connect_timeout_ns, self.unreachable, dispatch)
+                self.engine.schedule(now + self.connect_timeout_ns, self.unreachable, dispatch)
                 pool.active_dispatches += 1
                 return
             if not server.up or server.connections >= server.settings.connections:
-                self.engine.at(now + outbound_delay + return_delay, self.unreachable, dispatch)
+                self.engine.schedule(now + outbound_delay + return_delay, self.unreachable, dispatch)
                 pool.active_dispatches += 1
                 return
             pool.open_connections += 1
             server.connections += 1
             outbound_delay += outbound_delay + return_delay
         pool.active_dispatches += 1
-        self.engine.at(now + outbound_delay, server.receive, dispatch)
+        self.engine.schedule(now + outbound_delay, server.receive, dispatch)
 
     def cancel(self, dispatch: Dispatch) -> None:
         self.release_dispatch(dispatch, CANCELLED)
-        self.world.referee.ended(dispatch.query.number, dispatch.shot, CANCELLED)
+        self.world.referee.record_outcome(dispatch.query.number, dispatch.shot, CANCELLED)
         outbound_delay = self.world.network.delay(self.zone, dispatch.server.zone)
-        self.engine.at(self.engine.now + outbound_delay, dispatch.server.cancel, dispatch)
+        self.engine.schedule(self.engine.now + outbound_delay, dispatch.server.cancel, dispatch)
 
     def probe(self, now: int, upstream: int) -> None:
         server, network = self.world.find_server(upstream), self.world.network
@@ -402,7 +423,7 @@
         )
         self.world.meter.probe_count += 1
         if server.reachable():
-            self.engine.at(
+            self.engine.schedule(
                 now + outbound_delay + return_delay,
                 self.probe_finished,
                 (server, True, self.incarnation, now),
@@ -413,7 +434,7 @@
                 if server.partitioned or server.silent
                 else outbound_delay + return_delay
             )
-            self.engine.at(now + timeout, self.probe_finished, (server, False, self.incarnation, now))
+            self.engine.schedule(now + timeout, self.probe_finished, (server, False, self.incarnation, now))
 
     def probe_finished(self, arguments: tuple[Server, bool, int, int]) -> None:
         """Handles the end of a probe: (server, success, incarnation of the sidecar, when it was sent)."""
@@ -422,9 +443,9 @@
         server, ok, incarnation, sent_at = arguments
         if incarnation == self.incarnation:
             report = server.current_report() if ok and server.settings.reports else None
-            self.policy.probed(self.engine.now, server.number, ok, self.engine.now - sent_at, report)
+            self.policy.probe_ended(self.engine.now, server.number, ok, self.engine.now - sent_at, report)
             self.execute_decisions()
 
 
-NOT_RUN = frozenset({FULL, UNREACHABLE, MOOT})
-__all__ = ["MILLISECOND", "NOT_RUN", "READY", "Ask", "Dispatch", "Policy", "Sidecar"]
+NOT_RUN = frozenset({REJECTED, UNREACHABLE, NOT_WRITTEN})
+__all__ = ["MILLISECOND", "NOT_RUN", "READY", "Dispatch", "Policy", "Query", "Sidecar"]
--- a/maddercart/lab/story.py
+++ b/maddercart/lab/story.py
@@ -5,9 +5,9 @@
 from maddercart.interface import (
     CANCELLED,
     DONE,
-    ERROR,
-    FULL,
-    MOOT,
+    FAILED,
+    NOT_WRITTEN,
+    REJECTED,
     RESET,
     SECOND,
     TIMED_OUT,
@@ -15,11 +15,11 @@
 )  # fmt: skip
 
 if TYPE_CHECKING:
-    from maddercart.lab.sidecars import Ask, Dispatch
+    from maddercart.lab.sidecars import Dispatch, Query
     from maddercart.lab.world import World
 
-OUTCOME_NAMES = {DONE: "done", ERROR: "error", FULL: "full", TIMED_OUT: "timed out",
-       UNREACHABLE: "unreachable", RESET: "reset", CANCELLED: "cancelled", MOOT: "moot"}  # fmt: skip
+OUTCOME_NAMES = {DONE: "done", FAILED: "error", REJECTED: "full", TIMED_OUT: "timed out",
+       UNREACHABLE: "unreachable", RESET: "reset", CANCELLED: "cancelled", NOT_WRITTEN: "moot"}  # fmt: skip
 
 
 class Story:
@@ -48,12 +48,12 @@
         if self.start_ns <= now <= self.end_ns and len(self.lines) < self.MAX_LINES:
             self.lines.append((now / SECOND, text))
 
-    def query_sent(self, now: int, query: "Ask") -> None:
+    def query_sent(self, now: int, query: "Query") -> None:
         if query.wish == self.wish:
             self.sidecar_number = query.sidecar.number
             self.add(now, f"try {query.try_number}, query {query.number}: "
                           f"{self.offering_names[query.offering]} at sidecar {query.sidecar.number}, "
-                          f"{query.work / 1e6:.1f} ms of work, to be answered within "
+                          f"{query.work_ns / 1e6:.1f} ms of work, to be answered within "
                           f"{(query.hard_stop_at - now) / 1e6:.0f} ms")  # fmt: skip
 
     def dispatch_sent(self, now: int, dispatch: "Dispatch") -> None:
@@ -85,7 +85,7 @@
                 f"{OUTCOME_NAMES[outcome]}, {elapsed}",
             )
 
-    def query_answered(self, now: int, query: "Ask", outcome: str, retry_after: int) -> None:
+    def query_answered(self, now: int, query: "Query", outcome: str, retry_after: int) -> None:
         if query.wish == self.wish:
             retry_text = f", come back after {retry_after / 1e6:.0f} ms" if retry_after else ""
             self.add(
--- a/maddercart/lab/troubles.py
+++ b/maddercart/lab/troubles.py
@@ -17,31 +17,31 @@
 
     def __init__(self, world: "World", scenario: Scenario, seed: int) -> None:
         self.world, self.engine, self.scenario = world, world.engine, scenario
-        self.hit: list[list[int]] = []  # by trouble: numbers of the servers or sidecars affected
+        self.affected: list[list[int]] = []  # by trouble: numbers of the servers or sidecars affected
         for index, trouble in enumerate(scenario.troubles):
-            start, end = round(trouble.start * SECOND), round(scenario.ends(trouble) * SECOND)
+            start, end = round(trouble.start * SECOND), round(scenario.end_seconds(trouble) * SECOND)
             draws = random_stream(seed, "troubles", index)
             if trouble.kind in ("sidecar_restart", "sidecar_pause"):
                 sidecars = self.choose_targets(world.sidecars, trouble, draws)
-                self.hit.append([sidecar.number for sidecar in sidecars])
+                self.affected.append([sidecar.number for sidecar in sidecars])
                 for sidecar, draw in zip(sidecars, draws.random(len(sidecars)).tolist(), strict=True):
                     if trouble.kind == "sidecar_pause":
-                        self.engine.at(start, self.pause_sidecar, (sidecar, end))
+                        self.engine.schedule(start, self.pause_sidecar, (sidecar, end))
                     else:
-                        self.engine.at(start + int(draw * (end - start)), self.restart_sidecar, sidecar)
+                        self.engine.schedule(start + int(draw * (end - start)), self.restart_sidecar, sidecar)
                 continue
             servers = self.choose_targets(world.servers, trouble, draws)
-            self.hit.append([server.number for server in servers])
-            self.engine.at(start, self.begin, (trouble, servers))
+            self.affected.append([server.number for server in servers])
+            self.engine.schedule(start, self.begin, (trouble, servers))
             if trouble.kind != "deploy":
-                self.engine.at(end, self.end, (trouble, servers))
+                self.engine.schedule(end, self.end, (trouble, servers))
 
     def choose_targets(self, candidates: list, trouble: Trouble, draws) -> list:  # type: ignore[no-untyped-def,type-arg]
         """Chooses the servers or sidecars that a trouble affects, depending on the seed alone.
 
         In each of its zones it takes the trouble's share of them, at least one if the share is not 0.
         """
-        zones = [self.scenario.zone(trouble.zone)] if trouble.zone else range(len(self.scenario.zones))
+        zones = [self.scenario.zone_index(trouble.zone)] if trouble.zone else range(len(self.scenario.zones))
         targets = []
         for zone in zones:
             in_zone = [candidate for candidate in candidates if candidate.zone == zone]
@@ -60,7 +60,7 @@
                     server.slowdown *= trouble.factor
             case "errors":
                 for server in servers:
-                    server.failing = trouble.factor
+                    server.failure_share = trouble.factor
             case "crash":
                 for server in servers:
                     server.crash()
@@ -93,7 +93,7 @@
                     server.slowdown /= trouble.factor
             case "errors":
                 for server in servers:
-                    server.failing = 0.0
+                    server.failure_share = 0.0
             case "crash":
                 for server in servers:
                     self.restore(server, trouble.cold)
@@ -124,7 +124,11 @@
                 self.world.network.scale_delays(1.0, self.affected_zones(trouble))
 
     def affected_zones(self, trouble: Trouble) -> list[int]:
-        return [self.scenario.zone(trouble.zone)] if trouble.zone else list(range(len(self.scenario.zones)))
+        return (
+            [self.scenario.zone_index(trouble.zone)]
+            if trouble.zone
+            else list(range(len(self.scenario.zones)))
+        )
 
     def restore(self, server: "Server", cold: bool) -> None:
         if not server.up:
@@ -140,13 +144,13 @@
     def drain_batch(self, arguments: "tuple[Trouble, list[Server]]") -> None:
         trouble, remaining = arguments
         batch, rest = remaining[: trouble.batch], remaining[trouble.batch :]
-        if not batch or self.engine.now >= round(self.scenario.ends(trouble) * SECOND):
+        if not batch or self.engine.now >= round(self.scenario.end_seconds(trouble) * SECOND):
             return
         for server in batch:
             server.condition = DRAINING
         self.world.discovery.publish(batch)
         delay = round(self.scenario.servers.drain * SECOND)
-        self.engine.at(self.engine.now + delay, self.stop_batch, (trouble, batch, rest))
+        self.engine.schedule(self.engine.now + delay, self.stop_batch, (trouble, batch, rest))
 
     def stop_batch(self, arguments: "tuple[Trouble, list[Server], list[Server]]") -> None:
         trouble, batch, rest = arguments
@@ -154,7 +158,7 @@
             server.shut_down()
         self.world.discovery.publish(batch)
         delay = round(self.scenario.servers.boot * SECOND)
-        self.engine.at(self.engine.now + delay, self.start_batch, (trouble, batch, rest))
+        self.engine.schedule(self.engine.now + delay, self.start_batch, (trouble, batch, rest))
 
     def start_batch(self, arguments: "tuple[Trouble, list[Server], list[Server]]") -> None:
         trouble, batch, rest = arguments
--- a/maddercart/lab/world.py
+++ b/maddercart/lab/world.py
@@ -16,10 +16,10 @@
 from maddercart.lab.clients import Clients
 from maddercart.lab.engine import Engine
 from maddercart.lab.listing import DiscoveryService
-from maddercart.lab.meter import STEP, Meter, Result, summarize
+from maddercart.lab.meter import STEP_SECONDS, Meter, Result, summarize
 from maddercart.lab.network import Network
 from maddercart.lab.policies import POLICIES
-from maddercart.lab.referee import Referee, Terms
+from maddercart.lab.referee import EffectRules, Referee
 from maddercart.lab.scenario import Scenario, ScenarioError
 from maddercart.lab.servers import Server
 from maddercart.lab.sidecars import Dispatch, Policy, Sidecar
@@ -51,29 +51,32 @@
 class World:
     """Wires together the servers, sidecars, clients, network, discovery and troubles of one run.
 
-    `make`, if given, creates each sidecar's policy in place of the one named `policy`; tests of the referee
-    use it. Raises ScenarioError for an unknown policy name.
+    `policy_factory`, if given, creates each sidecar's policy in place of the one named `policy`; tests of the
+    referee use it. Raises ScenarioError for an unknown policy name.
     """
 
     def __init__(
         self, scenario: Scenario, seed: int, policy: str = "module", story: "Story | None" = None,
-        make: "Callable[..., Policy] | None" = None,
+        policy_factory: "Callable[..., Policy] | None" = None,
     ) -> None:  # fmt: skip
         if policy not in POLICIES:
             raise ScenarioError(f"policy {policy!r} is none of {', '.join(POLICIES)}")
         self.scenario, self.seed, self.policy_name, self.story = scenario, seed, policy, story
-        self.policy_factory = make or POLICIES[policy]
+        self.policy_factory = policy_factory or POLICIES[policy]
         self.engine = Engine()
-        self.day = days.generate_workload(scenario, seed)
+        self.workload = days.generate_workload(scenario, seed)
         self.offerings = [build_offering(terms) for terms in scenario.offerings]
         self.network = Network(scenario, seed)
         self.report_noise = lognormal_factors(random_stream(seed, "reports"), scenario.servers.report_noise)
-        self.meter = Meter(scenario, self.day)
+        self.meter = Meter(scenario, self.workload)
         self.servers = self.build_servers(seed)
         if story is not None:
             story.attach(self)
         self.referee = Referee(
-            [Terms(terms.effect, terms.group, terms.window) for terms in self.offerings],
+            [
+                EffectRules(terms.effect, terms.deduplication_scope, terms.deduplication_window_ns)
+                for terms in self.offerings
+            ],
             [(server.zone, server.cell) for server in self.servers],
             round(scenario.servers.grace * i.SECOND), scenario.cold.multiple,
             round(scenario.cold.window * i.SECOND),
@@ -94,7 +97,7 @@
         for zone, terms in enumerate(scenario.zones):
             for _ in range(terms.sidecars):
                 self.sidecars.append(Sidecar(self, len(self.sidecars), zone))
-        self.clients = Clients(self, scenario, self.day, seed)
+        self.clients = Clients(self, scenario, self.workload, seed)
         self.troubles = Troubles(self, scenario, seed)
 
     def build_servers(self, seed: int) -> list[Server]:
@@ -116,7 +119,7 @@
         draws = random_stream(seed, "cold")
         for server, draw in zip(servers, draws.random(len(servers)).tolist(), strict=True):
             if draw < self.scenario.cold.at_start:
-                server.launched = -int(ramp_ns * draws.random())
+                server.started_cold_at = -int(ramp_ns * draws.random())
         return servers
 
     def create_policy(self, sidecar: Sidecar) -> Policy:
@@ -127,16 +130,18 @@
             sidecar,
             now=self.engine.now,
             seed=derive_seed(self.seed, "decisions", sidecar.number * 1000 + sidecar.incarnation),
-            place=i.Place(sidecar.number, self.sidecar_count(), sidecar.zone, len(scenario.zones)),
+            place=i.SidecarPosition(sidecar.number, self.sidecar_count(), sidecar.zone, len(scenario.zones)),
             offerings=self.offerings,
-            cold=i.ColdRule(
+            cold=i.SlowStartRule(
                 scenario.cold.start, round(scenario.cold.ramp * i.SECOND), scenario.cold.multiple,
                 round(scenario.cold.window * i.SECOND),
             ),
-            permits=i.Permits(
-                dispatches=terms.dispatches, cancel=terms.cancel, probes=terms.probes,
-                come_back=round(terms.come_back * i.SECOND), follow=scenario.listed.mode == "ask",
-                moving=scenario.listed.loads_every > 0, streams=terms.streams, crossing=terms.crossing,
+            permits=i.BalancerOptions(
+                max_dispatches=terms.dispatches, may_cancel=terms.cancel, may_probe=terms.probes,
+                max_retry_delay_ns=round(terms.come_back * i.SECOND),
+                subscribes=scenario.listed.mode == "ask",
+                sizes_follow_load=scenario.listed.loads_every > 0, streams_per_connection=terms.streams,
+                cross_zone_cost=terms.crossing,
             ),
             quotas=[tenant.quota for tenant in scenario.tenants],
         )  # fmt: skip
@@ -159,17 +164,19 @@
 
     def dispatch_sent(self, now: int, dispatch: Dispatch) -> None:
         query, server, sidecar = dispatch.query, dispatch.server, dispatch.sidecar
-        self.referee.sent(now, query.number, dispatch.shot, server.number, sidecar.number, sidecar.zone)
+        self.referee.record_dispatch(
+            now, query.number, dispatch.shot, server.number, sidecar.number, sidecar.zone
+        )
         self.record_event(now, 2, query.number * 8 + dispatch.shot, server.number)
         self.meter.dispatch_sent(now, sidecar.zone, server.zone != sidecar.zone)
-        server.coming += 1
-        server.backlog += query.work
+        server.assigned_count += 1
+        server.assigned_work_ns += query.work_ns
         if self.story is not None:
             self.story.dispatch_sent(now, dispatch)
 
     def dispatch_ended(self, dispatch: Dispatch) -> None:
-        dispatch.server.coming -= 1
-        dispatch.server.backlog -= dispatch.query.work
+        dispatch.server.assigned_count -= 1
+        dispatch.server.assigned_work_ns -= dispatch.query.work_ns
 
     def begin_execution(self, server: Server, dispatch: Dispatch) -> bool:
         """Records that a server runs a query, whether or not it later fails it.
@@ -182,14 +189,16 @@
         if self.story is not None:
             self.story.dispatch_started(now, dispatch)
         if terms.effect == i.LABELLED:
-            scope = {i.EVERYWHERE: -1, i.SAME_ZONE: server.zone, i.SAME_CELL: server.cell}[terms.group]
+            scope = {i.EVERYWHERE: -1, i.SAME_ZONE: server.zone, i.SAME_CELL: server.cell}[
+                terms.deduplication_scope
+            ]
             while self.dedupe_queue and self.dedupe_queue[0][0] <= now:
                 self.dedupe_expiry.pop(self.dedupe_queue.popleft()[1], None)
             if (scope, query.wish) in self.dedupe_expiry:
                 return False
             self.dedupe_expiry[scope, query.wish] = now + self.dedupe_retention_ns
             self.dedupe_queue.append((now + self.dedupe_retention_ns, (scope, query.wish)))
-        self.referee.ran(now, query.wish, query.number, server.number, query.offering)
+        self.referee.record_effect(now, query.wish, query.number, server.number, query.offering)
         return True
 
     def cold_capacity(self, server: Server, now: int) -> float:
@@ -200,7 +209,7 @@
         window_ns = round(self.scenario.cold.window * i.SECOND)
         return server.cores * server.speed * window_ns * server.warm_fraction(now - window_ns // 2)
 
-    def may_feed(self, now: int, server: Server, work: int) -> bool:
+    def admit_cold_work(self, now: int, server: Server, work: int) -> bool:
         """Whether the "bound" policy may send `work` ns more to a cold server; if so, counts it as sent.
 
         The limit is 90% of that of the referee's rule, which leaves a margin.
@@ -230,22 +239,24 @@
             sidecar.list_version = self.discovery.version
             sidecar.receive_list((full_list, True, 0, 0))
         if self.scenario.listed.loads_every:
-            self.engine.at(round(self.scenario.listed.loads_every * i.SECOND), self.discovery.publish_loads)
-        self.engine.at(0, self.sample_cold_loads)
+            self.engine.schedule(
+                round(self.scenario.listed.loads_every * i.SECOND), self.discovery.publish_loads
+            )
+        self.engine.schedule(0, self.sample_cold_loads)
 
     def sample_cold_loads(self, _: None = None) -> None:
         """Samples the load of each cold server as a fraction of its limit, at each step of the time line."""
         now = self.engine.now
         for server in self.servers:
-            if now - server.launched < server.ramp and server.number in self.referee.cold_sums:
-                fraction = self.referee.cold_sums[server.number] / (
+            if now - server.started_cold_at < server.ramp_ns and server.number in self.referee.cold_work_ns:
+                fraction = self.referee.cold_work_ns[server.number] / (
                     self.scenario.cold.multiple * self.cold_capacity(server, now)
                 )
                 self.cold_loads.setdefault(server.number, []).append((now / i.SECOND, fraction))
         if now < self.scenario.seconds * i.SECOND:
-            self.engine.at(now + int(STEP * i.SECOND), self.sample_cold_loads)
+            self.engine.schedule(now + int(STEP_SECONDS * i.SECOND), self.sample_cold_loads)
 
-    def play(self) -> Result:
+    def run(self) -> Result:
         """Runs the simulation to its end. Raises ModelError if the model's accounting is inconsistent."""
         wall_start, cpu_start = time.perf_counter(), time.process_time()
         gc.collect()
@@ -265,7 +276,7 @@
                 )
         finally:
             gc.unfreeze()
-        self.referee.close(self.engine.now)
+        self.referee.finish(self.engine.now)
         self.check_accounting()
         figures, latencies = summarize(self.meter)
         self.hasher.update(self.event_buffer.tobytes())
@@ -273,13 +284,15 @@
         return Result(
             figures={
                 **figures, "policy": self.policy_name, "seed": self.seed, "scenario": self.scenario.title,
-                "void": self.referee.count, "cold_most": self.referee.cold_most, "events": event_count,
+                "void": self.referee.breach_count, "cold_most": self.referee.peak_cold_load,
+                "events": event_count,
                 "queries": self.clients.query_count, "lines_told": self.discovery.entries_sent,
                 "wall": wall, "cpu": time.process_time() - cpu_start,
                 "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-                "digest": self.hasher.hexdigest(), "day": self.day.digest(),
+                "digest": self.hasher.hexdigest(), "day": self.workload.digest(),
             },
-            took=latencies, lines=self.meter.timelines, notes=self.meter.notes, cold=self.cold_loads,
+            latencies_ns=latencies, timelines=self.meter.timelines, notes=self.meter.notes,
+            cold_loads=self.cold_loads,
             breaches=[str(breach) for breach in self.referee.breaches],
         )  # fmt: skip
 
@@ -300,5 +313,7 @@
                     f"server {server.number}: occupancy integral of {server.occupancy_integral_ns} ns "
                     f"differs from the total sojourn time of {sojourn_ns} ns"
                 )
-        if self.meter.wish_count != len(self.day):
-            raise ModelError(f"clients sent queries for {self.meter.wish_count} of {len(self.day)} wishes")
+        if self.meter.wish_count != len(self.workload):
+            raise ModelError(
+                f"clients sent queries for {self.meter.wish_count} of {len(self.workload)} wishes"
+            )
--- a/maddercart/messages/config.py
+++ b/maddercart/messages/config.py
@@ -119,6 +119,6 @@
 _config_decoder = msgspec.json.Decoder(Config)
 
 
-def read_config(text: bytes) -> Config:
+def decode_config(text: bytes) -> Config:
     """Raises `msgspec.DecodeError`, a `ValueError`, if the text is not a valid configuration."""
     return _config_decoder.decode(text)
--- a/maddercart/messages/headers.py
+++ b/maddercart/messages/headers.py
@@ -11,6 +11,6 @@
 })  # fmt: skip
 
 
-def passed_on(headers: Sequence[tuple[bytes, bytes]], excluded: frozenset[bytes]) -> Headers:
+def forwarded_headers(headers: Sequence[tuple[bytes, bytes]], excluded: frozenset[bytes]) -> Headers:
     """Returns the headers to forward: all but the hop-by-hop ones and those in `excluded` (in lower case)."""
     return [pair for pair in headers if (name := pair[0].lower()) not in HOP_BY_HOP and name not in excluded]
--- a/maddercart/messages/query.py
+++ b/maddercart/messages/query.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from urllib.parse import unquote
 
-from maddercart.messages.headers import Headers, passed_on
+from maddercart.messages.headers import Headers, forwarded_headers
 
 METHODS = (b"GET", b"POST")
 EXPIRES_IN_UNITS_NS = {"m": 1_000_000, "u": 1_000}
@@ -15,7 +15,7 @@
 UNIQUE_HEADERS = frozenset({b"x-trace-id", b"x-qos", b"x-expires-in", b"idempotency-key"})
 
 
-class UnfitQuery(ValueError):
+class InvalidQuery(ValueError):
     """A request that is not a valid query; `status` is the 4xx status of the response."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -28,8 +28,9 @@
     """A query that waits for its final response.
 
     `headers` are those that are forwarded unchanged. `offering` is an index into the settings' offerings.
-    `remaining` is the time in nanoseconds for which the client waits. `trace` is the id of the query, the
-    same on all hops. `most` is the maximum number of dispatches; 0 allows as many as the settings do.
+    `remaining` is the time in nanoseconds for which the client waits. `trace_id` is the id of the query, the
+    same on all hops. `max_dispatches` is the maximum number of dispatches; 0 allows as many as the settings
+    do.
     """
 
     method: bytes
@@ -38,22 +39,22 @@
     body: bytes
     offering: int
     remaining: int
-    trace: bytes
-    most: int = 0
+    trace_id: bytes
+    max_dispatches: int = 0
 
-    def over(self, dispatches: int, how: str) -> None:
+    def on_finished(self, dispatches: int, ending: str) -> None:
         """Called once the query has its final response or its client has disconnected.
 
-        `dispatches` is the number of dispatches and `how` the outcome. Does nothing here; the gateway
+        `dispatches` is the number of dispatches and `ending` the outcome. Does nothing here; the gateway
         overrides it to count queries.
         """
 
-    def headers_for(self, wait: int) -> Headers:
-        """Returns the headers of a dispatch whose response is awaited for `wait` nanoseconds."""
+    def headers_for(self, timeout: int) -> Headers:
+        """Returns the headers of a dispatch whose response is awaited for `timeout` nanoseconds."""
         length_headers = (
             [(b"Content-Length", b"%d" % len(self.body))] if self.body or self.method != b"GET" else []
         )
-        return [*self.headers, (b"X-Expires-In", b"%du" % max(1, wait // 1_000)), *length_headers]
+        return [*self.headers, (b"X-Expires-In", b"%du" % max(1, timeout // 1_000)), *length_headers]
 
 
 def has_duplicate_header(headers: Sequence[tuple[bytes, bytes]]) -> bool:
@@ -61,29 +62,31 @@
     return len({name.lower() for name in names}) < len(names)
 
 
-def read_query(
+def parse_query(
     method: bytes, target: bytes, headers: Sequence[tuple[bytes, bytes]], body: bytes,
     offerings: Mapping[str, int],
 ) -> Query:  # fmt: skip
-    """Raises `UnfitQuery`; `offerings` maps each name to its index in the settings."""
+    """Raises `InvalidQuery`; `offerings` maps each name to its index in the settings."""
     if method not in METHODS:
-        raise UnfitQuery(405, "neither GET nor POST")
+        raise InvalidQuery(405, "neither GET nor POST")
     values_by_name = {name.lower(): value for name, value in headers}
     path = target.decode("ascii", "replace").partition("?")[0]
     offering = offerings.get(unquote(path.removeprefix("/").partition("/")[0]))
     qos = values_by_name.get(b"x-qos")
     if offering is None:
-        raise UnfitQuery(404, "the path names no offering")
+        raise InvalidQuery(404, "the path names no offering")
     if qos is not None and offerings.get(qos.decode("ascii", "replace")) != offering:
-        raise UnfitQuery(400, "X-Qos names no offering, or another one than the path")
+        raise InvalidQuery(400, "X-Qos names no offering, or another one than the path")
     if len(values_by_name) < len(headers) and has_duplicate_header(headers):
-        raise UnfitQuery(400, "a header of ours is there twice")
+        raise InvalidQuery(400, "a header of ours is there twice")
     if not (trace := values_by_name.get(b"x-trace-id", b"")):
-        raise UnfitQuery(400, "X-Trace-Id is missing")
+        raise InvalidQuery(400, "X-Trace-Id is missing")
     expires_in = EXPIRES_IN_PATTERN.fullmatch(values_by_name.get(b"x-expires-in", b"").strip())
     if expires_in is None:
-        raise UnfitQuery(400, "X-Expires-In is missing, or no number with its unit (m or u)")
+        raise InvalidQuery(400, "X-Expires-In is missing, or no number with its unit (m or u)")
     remaining = int(float(expires_in[1]) * EXPIRES_IN_UNITS_NS[expires_in[2].decode()])
     if remaining <= 0:
-        raise UnfitQuery(408, "its time is already up")
-    return Query(method, target, passed_on(headers, REWRITTEN_HEADERS), body, offering, remaining, trace)
+        raise InvalidQuery(408, "its time is already up")
+    return Query(
+        method, target, forwarded_headers(headers, REWRITTEN_HEADERS), body, offering, remaining, trace
+    )
--- a/maddercart/messages/upstreams.py
+++ b/maddercart/messages/upstreams.py
@@ -26,7 +26,7 @@
 class Listing(Struct, frozen=True):
     """A version of the list; `whole` is false if it holds only the changes.
 
-    The entries of `hosts` are decoded one by one with `read_host`, so that an invalid entry does not
+    The entries of `hosts` are decoded one by one with `decode_host`, so that an invalid entry does not
     invalidate the others.
     """
 
@@ -38,11 +38,11 @@
 _listing_decoder = msgspec.json.Decoder(Listing)
 
 
-def read_listing(data: bytes) -> Listing:
+def decode_listing(data: bytes) -> Listing:
     """Raises `msgspec.MsgspecError` if the data is not a valid listing."""
     return _listing_decoder.decode(data)
 
 
-def read_host(entry: Any) -> Host:
+def decode_host(entry: Any) -> Host:
     """Raises `msgspec.MsgspecError` if the entry is not a valid host."""
     return msgspec.convert(entry, Host)
--- a/maddercart/messages/words.py
+++ b/maddercart/messages/words.py
@@ -16,23 +16,24 @@
 from typing import NamedTuple
 from zlib import crc32
 
-MOST = 256  # maximum length of a datagram in bytes, set by the protocol
+MAX_DATAGRAM_BYTES = 256  # maximum length of a datagram in bytes, set by the protocol
 MAGIC = b"mc1"
 ASK, TELL = 1, 2
 HEADER, RECORD, CHECKSUM = struct.Struct("!3sBQQ"), struct.Struct("!IBQ"), struct.Struct("!I")
-LINES = (MOST - HEADER.size - CHECKSUM.size) // RECORD.size  # maximum number of records in a datagram
+# maximum number of records in a datagram
+MAX_RECORDS = (MAX_DATAGRAM_BYTES - HEADER.size - CHECKSUM.size) // RECORD.size
 
 
-class Word(NamedTuple):
+class UpstreamState(NamedTuple):
     """The state of one upstream.
 
-    `key` is the upper half of the upstream's id (see `key_of`), `condition` one of GONE, READY and DRAINING,
-    and `stamp_ms` the timestamp of its start in the discovery list.
+    `key` is the upper half of the upstream's id (see `short_key`), `condition` one of GONE, READY and
+    DRAINING, and `start_ms` the timestamp of its start in the discovery list.
     """
 
     key: int
     condition: int
-    stamp_ms: int
+    start_ms: int
 
 
 class Message(NamedTuple):
@@ -41,30 +42,30 @@
     kind: int
     version: int
     token: int
-    words: list[Word]
+    states: list[UpstreamState]
 
 
-def key_of(number: int) -> int:
+def short_key(number: int) -> int:
     """Returns the upper half of the 64-bit id of an upstream."""
     return number >> 32
 
 
-def write(kind: int, version: int, token: int, words: Iterable[Word] = ()) -> bytes:
-    """Encodes one datagram, of at most `LINES` records."""
-    data = HEADER.pack(MAGIC, kind, version, token) + b"".join(RECORD.pack(*word) for word in words)
+def encode(kind: int, version: int, token: int, states: Iterable[UpstreamState] = ()) -> bytes:
+    """Encodes one datagram, of at most `MAX_RECORDS` records."""
+    data = HEADER.pack(MAGIC, kind, version, token) + b"".join(RECORD.pack(*state) for state in states)
     return data + CHECKSUM.pack(crc32(data))
 
 
-def tells(version: int, token: int, words: list[Word]) -> Iterator[bytes]:
+def encode_tells(version: int, token: int, states: list[UpstreamState]) -> Iterator[bytes]:
     """Yields the datagrams of a response, as many as its records need."""
-    for first in range(0, len(words), LINES):
-        yield write(TELL, version, token, words[first : first + LINES])
+    for first in range(0, len(states), MAX_RECORDS):
+        yield encode(TELL, version, token, states[first : first + MAX_RECORDS])
 
 
-def read(data: bytes) -> Message:
+def decode(data: bytes) -> Message:
     """Raises `ValueError` if the datagram is truncated, corrupted or in another format."""
     body, checksum = data[: -CHECKSUM.size], data[-CHECKSUM.size :]
-    if len(data) > MOST or len(body) < HEADER.size or (len(body) - HEADER.size) % RECORD.size:
+    if len(data) > MAX_DATAGRAM_BYTES or len(body) < HEADER.size or (len(body) - HEADER.size) % RECORD.size:
         raise ValueError("invalid length")
     if CHECKSUM.unpack(checksum)[0] != crc32(body):
         raise ValueError("checksum mismatch")
@@ -72,5 +73,5 @@
     if magic != MAGIC or kind not in (ASK, TELL):
         raise ValueError("unknown format or message kind")
     return Message(
-        kind, version, token, [Word(*record) for record in RECORD.iter_unpack(body[HEADER.size :])]
+        kind, version, token, [UpstreamState(*record) for record in RECORD.iter_unpack(body[HEADER.size :])]
     )
--- a/maddercart/net/loop.py
+++ b/maddercart/net/loop.py
@@ -1,9 +1,9 @@
 """An event loop for coroutines that are plain generators.
 
-A coroutine yields a `Wait` and is resumed with the reason for which the wait ended: epoll events, TIME_UP
-or WOKEN. A turn of the loop polls epoll once, resumes the coroutines that waited for the reported events,
-ordered by rank, then those that were woken, and then runs the timers that are due. All times are in
-nanoseconds of the loop's clock.
+A coroutine yields a `Wait` and is resumed with the reason for which the wait ended: epoll events,
+DEADLINE_PASSED or WOKEN. A turn of the loop polls epoll once, resumes the coroutines that waited for the
+reported events, ordered by rank, then those that were woken, and then runs the timers that are due. All times
+are in nanoseconds of the loop's clock.
 """
 
 import logging
@@ -13,41 +13,41 @@
 from typing import NamedTuple
 
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.net.machine import MACHINE, Machine
+from maddercart.net.machine import SYSTEM_CALLS, SystemCalls
 
 log = logging.getLogger(__name__)
 
-READ, WRITE, NOTHING = select.EPOLLIN, select.EPOLLOUT, 0
+READ, WRITE, NO_EVENTS = select.EPOLLIN, select.EPOLLOUT, 0
 
 # A timer that is later than this is logged: it is more than a turn with many queries takes, and more than a
 # response may be late.
 LATE_TIMER_NS = 50 * MILLISECOND
 
 # Reasons for resuming a coroutine other than epoll events, which are greater than zero.
-TIME_UP = 0
+DEADLINE_PASSED = 0
 WOKEN = -1
 
 # Ranks, which order the coroutines of a turn: those that finish work run before those that start more.
-FIRST, SOON, LAST = 0, 1, 2
+RANK_FIRST, RANK_SOON, RANK_LAST = 0, 1, 2
 
 
 class Wait(NamedTuple):
     """What a coroutine waits for.
 
-    With `fd` -1 it waits only for the deadline `until` and for `Loop.wake`. `events` is an epoll mask.
-    `until` is an instant of the loop's clock; None means no deadline.
+    With `fd` -1 it waits only for `deadline` and for `Loop.wake`. `events` is an epoll mask.
+    `deadline` is an instant of the loop's clock; None means no deadline.
     """
 
     fd: int = -1
-    events: int = NOTHING
-    until: int | None = None
+    events: int = NO_EVENTS
+    deadline: int | None = None
 
 
 Coroutine = Generator[Wait, int, None]
 
 
 class Task:
-    """A coroutine that the loop runs; `over` is true once it has ended."""
+    """A coroutine that the loop runs; `finished` is true once it has ended."""
 
     __slots__ = ("coroutine", "deadline", "fd", "next_timer", "rank", "resumptions")
 
@@ -60,7 +60,7 @@
         self.resumptions = 0  # a count, which identifies events that were meant for an earlier wait
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         return self.coroutine is None
 
 
@@ -68,26 +68,26 @@
 
 
 class Loop:
-    SPARE = 1024  # number of timers up to which those of ended tasks are not removed
+    MIN_CLEANUP_TIMERS = 1024  # number of timers up to which those of ended tasks are not removed
 
-    def __init__(self, clock: Callable[[], int], machine: Machine = MACHINE) -> None:
-        self.clock, self.machine = clock, machine
-        self.epoll = machine.epoll()
-        self.waiting: dict[int, Task] = {}  # by descriptor
+    def __init__(self, clock: Callable[[], int], system_calls: SystemCalls = SYSTEM_CALLS) -> None:
+        self.clock, self.system_calls = clock, system_calls
+        self.epoll = system_calls.epoll()
+        self.waiting_tasks: dict[int, Task] = {}  # by descriptor
         self.readable_callbacks: dict[int, Callable[[], None]] = {}  # by descriptor
         self.registered: dict[int, int] = {}  # descriptors in the epoll set and their event masks
         # A heap of time, sequence number and what is resumed or called.
         self.timers: list[tuple[int, int, Task | Callable[[], None]]] = []
-        self.clear_threshold = self.SPARE  # number of timers
+        self.clear_threshold = self.MIN_CLEANUP_TIMERS  # number of timers
         self.timer_count = 0  # sequence number: timers of the same time run in the order they were set
         self.woken: list[tuple[Task, int]] = []  # task, its resumption count when it was woken
         self.stopped = False
         # The time of the last poll, and the earliest time at which its events can have occurred.
-        self.looked = self.events_since = clock()
+        self.polled_at = self.events_since = clock()
 
     # -- coroutines
 
-    def spawn(self, coroutine: Coroutine, rank: int = LAST) -> Task:
+    def spawn(self, coroutine: Coroutine, rank: int = RANK_LAST) -> Task:
         """Starts a coroutine immediately and runs it up to its first wait."""
         task = Task(coroutine, rank)
         self.resume(task, WOKEN)
@@ -95,10 +95,10 @@
 
     def wake(self, task: Task) -> None:
         """Resumes a waiting coroutine in the next turn, which then polls epoll without blocking."""
-        if not task.over:
+        if not task.finished:
             self.woken.append((task, task.resumptions))
 
-    def end(self, task: Task) -> None:
+    def close(self, task: Task) -> None:
         """Ends a coroutine at its current wait; its `finally` clauses run."""
         if (coroutine := task.coroutine) is not None:
             self.unwait(task)
@@ -106,7 +106,7 @@
             coroutine.close()
 
     def resume(self, task: Task, reason: int) -> None:
-        """Runs a coroutine up to its next wait; `reason` is an epoll mask, TIME_UP or WOKEN."""
+        """Runs a coroutine up to its next wait; `reason` is an epoll mask, DEADLINE_PASSED or WOKEN."""
         self.unwait(task)
         task.resumptions += 1
         assert task.coroutine is not None
@@ -135,8 +135,8 @@
         fd, events, deadline = wait
         if fd >= 0:
             if self.registered.get(fd) != events:
-                self.watch(fd, events)
-            self.waiting[fd] = task
+                self.set_events(fd, events)
+            self.waiting_tasks[fd] = task
             task.fd = fd
         if deadline is not None:
             task.deadline = deadline
@@ -148,13 +148,13 @@
     def unwait(self, task: Task) -> None:
         task.deadline = NEVER
         if task.fd >= 0:
-            if self.waiting.get(task.fd) is task:
-                del self.waiting[task.fd]
+            if self.waiting_tasks.get(task.fd) is task:
+                del self.waiting_tasks[task.fd]
             task.fd = -1
 
     # -- descriptors
 
-    def watch(self, fd: int, events: int) -> None:
+    def set_events(self, fd: int, events: int) -> None:
         """Sets the epoll mask of a descriptor.
 
         It remains until another one is requested, since most coroutines wait for the same events again and
@@ -166,17 +166,17 @@
             self.epoll.register(fd, events)
         self.registered[fd] = events
 
-    def rest(self, fd: int, call: Callable[[], None]) -> None:
+    def call_when_readable(self, fd: int, call: Callable[[], None]) -> None:
         """Calls `call` once the descriptor becomes readable, which needs no coroutine."""
         if self.registered.get(fd) != READ:
-            self.watch(fd, READ)
+            self.set_events(fd, READ)
         self.readable_callbacks[fd] = call
 
-    def rouse(self, fd: int) -> None:
-        """Removes the callback that was set with `rest`."""
+    def remove_callback(self, fd: int) -> None:
+        """Removes the callback that was set with `call_when_readable`."""
         self.readable_callbacks.pop(fd, None)
 
-    def forget(self, fd: int) -> None:
+    def unregister(self, fd: int) -> None:
         """Removes a descriptor from the epoll set.
 
         Required before it is closed, and when it reports events that nothing waits for, which would make the
@@ -185,12 +185,12 @@
         if self.registered.pop(fd, None) is not None:
             self.epoll.unregister(fd)
         self.readable_callbacks.pop(fd, None)
-        if (task := self.waiting.pop(fd, None)) is not None:
+        if (task := self.waiting_tasks.pop(fd, None)) is not None:
             task.fd = -1
 
     # -- timers
 
-    def at(self, when: int, call: Callable[[], None]) -> None:
+    def call_at(self, when: int, call: Callable[[], None]) -> None:
         """Calls `call` at the time `when`."""
         self.add_timer(when, call)
 
@@ -198,39 +198,41 @@
         self.timer_count += 1
         heappush(self.timers, (when, self.timer_count, target))
         if len(self.timers) > self.clear_threshold:
-            self.clear()
+            self.remove_ended_timers()
 
-    def clear(self) -> None:
+    def remove_ended_timers(self) -> None:
         """Removes the timers of ended tasks.
 
         Without this they would stay until they expire and keep the objects of their tasks alive, so that the
         heap would grow with the traffic.
         """
-        self.timers = [timer for timer in self.timers if not (isinstance(timer[2], Task) and timer[2].over)]
+        self.timers = [
+            timer for timer in self.timers if not (isinstance(timer[2], Task) and timer[2].finished)
+        ]
         heapify(self.timers)
-        self.clear_threshold = max(self.SPARE, 2 * len(self.timers))
+        self.clear_threshold = max(self.MIN_CLEANUP_TIMERS, 2 * len(self.timers))
 
     def expire(self, when: int, target: Task | Callable[[], None]) -> None:
         if not isinstance(target, Task):
             target()
-        elif not target.over and target.next_timer == when:
+        elif not target.finished and target.next_timer == when:
             target.next_timer = NEVER
             if target.deadline > self.clock():
                 if target.deadline < NEVER:
                     target.next_timer = target.deadline
                     self.add_timer(target.deadline, target)
             else:
-                self.resume(target, TIME_UP)
+                self.resume(target, DEADLINE_PASSED)
 
     # -- turns
 
-    def behind(self) -> int:
+    def max_event_delay(self) -> int:
         """The maximum time in nanoseconds for which the events of this turn may have been pending."""
         return self.clock() - self.events_since
 
     def run(self) -> None:
         while not self.stopped:
-            self.turn()
+            self.run_once()
 
     def poll(self) -> list[tuple[int, int]]:
         timeout_seconds = -1.0
@@ -242,19 +244,19 @@
         events = self.epoll.poll(timeout_seconds)
         now = self.clock()
         # If the poll blocked, its events have just occurred; otherwise at any time since the previous poll.
-        self.events_since = now if now - before > before - self.looked else self.looked
-        self.looked = now
+        self.events_since = now if now - before > before - self.polled_at else self.polled_at
+        self.polled_at = now
         return events
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         due: list[tuple[Task, int, int]] = []  # task, its resumption count, reason
         for fd, events in self.poll():
-            if (task := self.waiting.get(fd)) is not None:
+            if (task := self.waiting_tasks.get(fd)) is not None:
                 due.append((task, task.resumptions, events))
             elif (call := self.readable_callbacks.pop(fd, None)) is not None:
                 call()
             else:
-                self.forget(fd)
+                self.unregister(fd)
         due.sort(key=rank)
         due += [(task, resumptions, WOKEN) for task, resumptions in self.woken]
         self.woken.clear()
--- a/maddercart/net/machine.py
+++ b/maddercart/net/machine.py
@@ -4,7 +4,7 @@
 import socket
 
 
-class Machine:
+class SystemCalls:
     def epoll(self) -> select.epoll:
         return select.epoll()
 
@@ -15,4 +15,4 @@
         return socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
 
 
-MACHINE = Machine()
+SYSTEM_CALLS = SystemCalls()
--- a/maddercart/net/sockets.py
+++ b/maddercart/net/sockets.py
@@ -8,11 +8,11 @@
 import socket
 from collections.abc import Generator
 
-from maddercart.net.loop import READ, TIME_UP, WRITE, Loop, Wait
-from maddercart.net.machine import MACHINE, Machine
+from maddercart.net.loop import DEADLINE_PASSED, READ, WRITE, Loop, Wait
+from maddercart.net.machine import SYSTEM_CALLS, SystemCalls
 
 # Errors of accept(2) that concern only the connection at the head of the queue; the next one may be fine.
-ACCEPTED_GONE = frozenset({
+ACCEPT_RETRYABLE_ERRNOS = frozenset({
     errno.ECONNABORTED, errno.ECONNRESET, errno.EPROTO, errno.ENOPROTOOPT, errno.EOPNOTSUPP, errno.ETIMEDOUT,
     errno.ENETDOWN, errno.ENETUNREACH, errno.EHOSTDOWN, errno.EHOSTUNREACH, errno.ENONET, errno.EPERM,
     errno.EINTR,
@@ -23,7 +23,7 @@
 # The read failed for lack of local memory or was interrupted; the received data is still available.
 READ_RETRYABLE_ERRNOS = frozenset({errno.ENOMEM, errno.ENOBUFS, errno.EINTR})
 # Local lack of descriptors, ports or buffers, which says nothing about the remote host.
-OUR_LACK = frozenset({
+LOCAL_RESOURCE_ERRNOS = frozenset({
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EADDRNOTAVAIL,
 })  # fmt: skip
 
@@ -31,7 +31,7 @@
 BACKLOG = 512  # connections queued by the kernel; several hundred may arrive at once
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Splits `host:port`. Raises `ValueError`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
@@ -39,8 +39,10 @@
     return host, int(port)
 
 
-def listen(local: tuple[str, int], backlog: int = BACKLOG, machine: Machine = MACHINE) -> socket.socket:
-    sock = machine.tcp()
+def listen(
+    local: tuple[str, int], backlog: int = BACKLOG, system_calls: SystemCalls = SYSTEM_CALLS
+) -> socket.socket:
+    sock = system_calls.tcp()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(local)
     sock.listen(backlog)
@@ -55,7 +57,7 @@
         except BlockingIOError:
             return None
         except OSError as error:
-            if error.errno not in ACCEPTED_GONE:
+            if error.errno not in ACCEPT_RETRYABLE_ERRNOS:
                 raise
             continue
         try:
@@ -70,7 +72,7 @@
 
 def close(loop: Loop, sock: socket.socket) -> None:
     if sock.fileno() >= 0:
-        loop.forget(sock.fileno())
+        loop.unregister(sock.fileno())
         sock.close()
 
 
@@ -80,7 +82,7 @@
     """Returns true once connected, false if the deadline passes. Raises `OSError` on failure."""
     error = sock.connect_ex(remote)
     if error in CONNECT_PENDING_ERRNOS:
-        if (yield Wait(sock.fileno(), WRITE, deadline)) == TIME_UP:
+        if (yield Wait(sock.fileno(), WRITE, deadline)) == DEADLINE_PASSED:
             return False
         error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if error:
@@ -99,12 +101,12 @@
         try:
             view = view[sock.send(view) :]
         except BlockingIOError:
-            if (yield Wait(sock.fileno(), WRITE, deadline)) == TIME_UP:
+            if (yield Wait(sock.fileno(), WRITE, deadline)) == DEADLINE_PASSED:
                 return False
     return True
 
 
-def read_now(sock: socket.socket) -> bytes | None:
+def read_available(sock: socket.socket) -> bytes | None:
     """Returns the available data without waiting: empty at the end of the stream, None if there is none yet.
 
     Raises `OSError` if the connection is broken.
@@ -119,7 +121,7 @@
         raise
 
 
-def ended(sock: socket.socket) -> bool:
+def closed_by_peer(sock: socket.socket) -> bool:
     """Whether the peer has closed or reset the connection and all data that it sent before was read."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
@@ -136,7 +138,7 @@
     takes a turn of the loop, so that a peer that sends without pause doesn't starve the others.
     """
     while True:
-        if (yield Wait(sock.fileno(), READ, deadline)) == TIME_UP:
+        if (yield Wait(sock.fileno(), READ, deadline)) == DEADLINE_PASSED:
             return None
-        if (data := read_now(sock)) is not None:
+        if (data := read_available(sock)) is not None:
             return data
--- a/maddercart/policy/answers.py
+++ b/maddercart/policy/answers.py
@@ -6,7 +6,7 @@
 
 from maddercart.interface import (
     SECOND,
-    Entry,
+    ListEntry,
 )
 from maddercart.policy.upstream import Upstream
 
@@ -42,7 +42,7 @@
         return max(1, min(self.MAX_SAMPLE_AGE_NS, self.SAMPLE_AGE_SPANS * (now - self.arrival_times[0])))
 
     def add(
-        self, now: int, entry: Entry, duration: int, answer_times: Sequence[int] = (), size: float = 1.0
+        self, now: int, entry: ListEntry, duration: int, answer_times: Sequence[int] = (), size: float = 1.0
     ) -> None:
         """Records an answer. `answer_times` are when the upstream's last answers came, including this one."""
         # The interval is scaled to size 1, or the size would count twice. A span shorter than the answer took
