--- a/maddercart/policy/balancer.py
+++ b/maddercart/policy/balancer.py
@@ -7,24 +7,24 @@
 from maddercart.interface import (
     CANCELLED,
     DONE,
-    FULL,
     IRREVERSIBLE,
     MILLISECOND,
-    MOOT,
     NEVER_RAN,
+    NOT_WRITTEN,
     READY,
     REDOABLE,
+    REJECTED,
     RESET,
     SECOND,
     TIMED_OUT,
     UNREACHABLE,
-    ColdRule,
+    BalancerOptions,
     Decision,
-    Entry,
+    ListEntry,
     Offering,
-    Permits,
-    Place,
     Report,
+    SidecarPosition,
+    SlowStartRule,
 )
 from maddercart.policy.answers import LatencyStats
 from maddercart.policy.cold_budget import ColdBudget
@@ -57,19 +57,19 @@
     PAIR_DRAWS = 3  # pairs drawn in each of the first two zones: one slow pair does not mean a full zone
     # Pauses after failed calls to the list. A change counts as received 6 s after discovery could send it:
     # the longest pause, jittered by half, and two calls with their timeouts must fit into that.
-    FOLLOW_FIRST, FOLLOW_MAX_NS = SECOND // 2, SECOND
+    FOLLOW_MIN_NS, FOLLOW_MAX_NS = SECOND // 2, SECOND
     # The least retry delay of a bounce, as no queue drains sooner; how late the list may report a restart.
     MIN_RETRY_NS, RESTART_REPORT_NS = 40 * MILLISECOND, 2 * SECOND
     GROUP_STEP_NS = 20 * MILLISECOND  # the least time between two steps of the zone group
     NEVER = 1 << 62  # later than any instant of the clock
 
     def __init__(
-        self, now: int, seed: int, place: Place, offerings: Sequence[Offering], cold: ColdRule,
-        permits: Permits, quotas: Sequence[float] = (),
+        self, now: int, seed: int, place: SidecarPosition, offerings: Sequence[Offering], cold: SlowStartRule,
+        permits: BalancerOptions, quotas: Sequence[float] = (),
     ) -> None:  # fmt: skip
         self.random_uniform = (random := Random(seed)).uniform
-        self.roster, self.held, self.queue = (
-            Registry(place, cold, permits.moving),
+        self.registry, self.held, self.queue = (
+            Registry(place, cold, permits.sizes_follow_load),
             HeldQueries(),
             PlacementQueue(),
         )
@@ -81,15 +81,15 @@
         self.pending: deque[Decision] = deque()  # decisions that the host has not pulled yet
         # When `run_due` has something to do; when the timer that the host was asked for fires.
         self.due_at, self.wake_at = now, self.NEVER
-        self.follow_at, self.follow_pause = now if permits.follow else self.NEVER, self.FOLLOW_FIRST
+        self.follow_at, self.follow_pause = now if permits.subscribes else self.NEVER, self.FOLLOW_MIN_NS
         self.configure(now, place, offerings, cold, permits, quotas)
 
     def configure(
-        self, now: int, place: Place, offerings: Sequence[Offering], cold: ColdRule, permits: Permits,
-        quotas: Sequence[float],
+        self, now: int, place: SidecarPosition, offerings: Sequence[Offering], cold: SlowStartRule,
+        permits: BalancerOptions, quotas: Sequence[float],
     ) -> None:  # fmt: skip
-        self.shortest_agreed = min((offering.agreed for offering in offerings), default=SECOND)
-        self.cold_budget, self.quotas = ColdBudget(cold, place), Quotas(now, quotas, place.sidecars)
+        self.shortest_agreed = min((offering.agreed_time_ns for offering in offerings), default=SECOND)
+        self.cold_budget, self.quotas = ColdBudget(cold, place), Quotas(now, quotas, place.sidecar_count)
         # The effect of a query that may be a canary: labelled where no offering is redoable, or an ejected
         # upstream would never return. An offering restricted to zones or kinds is used only where all are, as
         # its queries could not be tried elsewhere.
@@ -103,124 +103,130 @@
         self.picker.mean_by_kind = self.latency.mean_by_kind
         # The queue at an upstream is assumed to grow by the square root of the number of sidecars for each
         # dispatch of this one.
-        self.offerings, self.permits, self.queue_growth = offerings, permits, place.sidecars**0.5
+        self.offerings, self.permits, self.queue_growth = offerings, permits, place.sidecar_count**0.5
         ranks = [sum(other.earnings > offering.earnings for other in offerings) for offering in offerings]
         bounce_share = self.BOUNCE_SHARE - self.MANY_SIDECARS_SHARE * (1 - 1 / self.queue_growth) ** 2
         shares = [max(bounce_share - self.RANK_SHARE * rank, self.MIN_BOUNCE_SHARE) for rank in ranks]
         # By offering: the expected latency (ns) above which a query is bounced.
         self.latency_budgets = [
-            int(offering.agreed * share) for offering, share in zip(offerings, shares, strict=True)
+            int(offering.agreed_time_ns * share) for offering, share in zip(offerings, shares, strict=True)
         ]
 
-    def renew(
-        self, now: int, place: Place, offerings: Sequence[Offering], cold: ColdRule, permits: Permits,
-        zones: Sequence[int], kinds: Sequence[int], quotas: Sequence[float] = (),
+    def reconfigure(
+        self, now: int, place: SidecarPosition, offerings: Sequence[Offering], cold: SlowStartRule,
+        permits: BalancerOptions, zones: Sequence[int], kinds: Sequence[int], quotas: Sequence[float] = (),
     ) -> None:  # fmt: skip
         """Applies new settings; `zones` and `kinds` give the new number for each old one, -1 if it is gone.
 
         Held queries keep their terms. The upstreams that they were sent to are renumbered as well, also those
         that have restarted or left the list, or a repeat could leave its deduplication scope.
         """
-        if permits.follow != self.permits.follow:
-            self.follow_at = now if permits.follow else self.NEVER
+        if permits.subscribes != self.permits.subscribes:
+            self.follow_at = now if permits.subscribes else self.NEVER
         for query in self.held.by_number.values():
             query.terms = query.terms.renumbered(zones, kinds)
         tried = {id(upstream): upstream for q in self.held.by_number.values() for upstream, _ in q.attempts}
         for upstream in tried.values():
-            if self.roster.by_id.get(upstream.entry.upstream) is not upstream:
+            if self.registry.by_id.get(upstream.entry.upstream) is not upstream:
                 upstream.renumber(zones, kinds)
         self.configure(now, place, offerings, cold, permits, quotas)
-        self.roster.configure(place, cold, permits.moving)
-        self.roster.renumber(now, zones, kinds)
+        self.registry.configure(place, cold, permits.sizes_follow_load)
+        self.registry.renumber(now, zones, kinds)
         self.group.renew(now, place, zones)
-        self.group.assign_zones(self.roster.ready)
+        self.group.assign_zones(self.registry.ready)
         self.due_at = now
 
-    def learn(self, now: int, entries: Sequence[Entry], whole: bool) -> None:
-        """Applies the upstream list, if `whole`, or changes of it."""
-        self.roster.learn(now, entries, whole, self.permits.drains)
+    def update_list(self, now: int, entries: Sequence[ListEntry], is_complete: bool) -> None:
+        """Applies the upstream list, if `is_complete`, or changes of it."""
+        self.registry.update_list(now, entries, is_complete, self.permits.only_draining_binds)
         self.health.ejected = {
             number: upstream
             for number, upstream in self.health.ejected.items()
-            if self.roster.by_id.get(number) is upstream
+            if self.registry.by_id.get(number) is upstream
         }
-        self.group.assign_zones(self.roster.ready)
-        self.follow_pause, self.due_at = min(self.FOLLOW_FIRST, self.permits.stale // 8), now
+        self.group.assign_zones(self.registry.ready)
+        self.follow_pause, self.due_at = min(self.FOLLOW_MIN_NS, self.permits.max_list_age_ns // 8), now
 
-    def list_failed(self, now: int, left: int = NEVER) -> None:
-        """Schedules another `follow`; the pause is shorter if only `left` ns remain for it."""
-        pause = min(self.follow_pause, max(left // 4, self.FOLLOW_FIRST // 4))
+    def list_failed(self, now: int, remaining_ns: int = NEVER) -> None:
+        """Schedules another `follow`; the pause is shorter if only `remaining_ns` are left for it."""
+        pause = min(self.follow_pause, max(remaining_ns // 4, self.FOLLOW_MIN_NS // 4))
         self.follow_at = now + int(pause * self.random_uniform(0.5, 1.5))
-        self.follow_pause = min(2 * self.follow_pause, self.FOLLOW_MAX_NS, self.permits.stale)
+        self.follow_pause = min(2 * self.follow_pause, self.FOLLOW_MAX_NS, self.permits.max_list_age_ns)
         self.due_at = min(self.due_at, self.follow_at)
 
-    def take(
-        self, now: int, number: int, offering: int, remaining: int, waited: int = 0, party: int = -1,
-        again: bool = False, most: int = 0,
+    def take_query(
+        self, now: int, query: int, offering: int, remaining_ns: int, waited_ns: int = 0, tenant: int = -1,
+        is_retry: bool = False, max_dispatches: int = 0,
     ) -> None:  # fmt: skip
-        """Takes a new query; `remaining` and `waited` are in nanoseconds.
+        """Takes a new query; `waited_ns` of `remaining_ns` has already passed.
 
-        `party` is -1 if the tenant is unknown; `most` limits the dispatches (0: only the settings do).
+        `tenant` is -1 if the tenant is unknown; `max_dispatches` limits the dispatches (0: only the settings
+        do).
         """
         # Its answer will wait for the host as long as the query did.
-        terms, budget = self.offerings[offering], self.latency_budgets[offering] - waited
-        if quota_wait := self.quotas.wait(now, party, again):
-            budget = min(budget, int(terms.agreed * self.OVER_QUOTA_SHARE))
-        most, arrived_at = min(most or 99, self.permits.dispatches), now - waited
-        agreed_at, hard_stop_at = arrived_at + min(remaining, terms.agreed), arrived_at + remaining
-        self.queue.add(Query(number, terms, budget, hard_stop_at, agreed_at, most, quota_wait))
-        self.held.by_number[number] = self.queue.new[-1]
+        terms, budget = self.offerings[offering], self.latency_budgets[offering] - waited_ns
+        if quota_wait := self.quotas.wait(now, tenant, is_retry):
+            budget = min(budget, int(terms.agreed_time_ns * self.OVER_QUOTA_SHARE))
+        max_dispatches, arrived_at = min(max_dispatches or 99, self.permits.max_dispatches), now - waited_ns
+        agreed_at, hard_stop_at = (
+            arrived_at + min(remaining_ns, terms.agreed_time_ns),
+            arrived_at + remaining_ns,
+        )
+        self.queue.add(Query(query, terms, budget, hard_stop_at, agreed_at, max_dispatches, quota_wait))
+        self.held.by_number[query] = self.queue.new[-1]
         self.arrival_times.append(now)
 
-    def outcome(
-        self, now: int, number: int, upstream: int, shot: int, duration: int, outcome: int, ended: bool,
-        report: Report | None,
+    def dispatch_ended(
+        self, now: int, query: int, upstream: int, attempt: int, duration_ns: int, outcome: int,
+        query_ended: bool, report: Report | None,
     ) -> None:  # fmt: skip
-        """Records how dispatch `shot` of query `number` ended, after `duration` ns.
+        """Records how dispatch `attempt` of `query` ended, after `duration_ns`.
 
-        `ended`: the query needs no further dispatch.
+        `query_ended`: the query needs no further dispatch.
         """
-        target, query = self.roster.by_id.get(upstream), self.held.by_number.get(number)
-        if target is not None and (dispatch := target.in_flight.pop((number, shot), None)) is not None:
+        target, held_query = self.registry.by_id.get(upstream), self.held.by_number.get(query)
+        if target is not None and (dispatch := target.in_flight.pop((query, attempt), None)) is not None:
             target.latest_report = (now, report) if report is not None else target.latest_report
-            canary = bool(query and query.is_canary and not shot)
+            canary = bool(held_query and held_query.is_canary and not attempt)
             if outcome == DONE and not target.canary_in_flight:
                 self.cancel_overtaken(now, target, dispatch[0])
-            if outcome not in (CANCELLED, MOOT):
-                self.record(now, target, outcome, duration, dispatch, canary)
+            if outcome not in (CANCELLED, NOT_WRITTEN):
+                self.record(now, target, outcome, duration_ns, dispatch, canary)
             elif canary:  # it has no result: while it counted as in flight, no other canary would be sent
                 target.canary_in_flight, self.due_at = False, now
-        if query is not None:
-            query.in_flight.discard(shot)
-            query.suspects.update({shot} if outcome not in NEVER_RAN else ())
-            if ended or query.ended:
-                self.close(query)
-            elif not query.in_flight:
-                self.queue.add(query)
-
-    def may_begin(self, now: int, number: int) -> bool:
+        if held_query is not None:
+            held_query.in_flight.discard(attempt)
+            held_query.suspects.update({attempt} if outcome not in NEVER_RAN else ())
+            if query_ended or held_query.ended:
+                self.close(held_query)
+            elif not held_query.in_flight:
+                self.queue.add(held_query)
+
+    def may_write(self, now: int, query: int) -> bool:
         """Whether the dispatch in flight, whose connection may have come up late, may still be written."""
-        if not (query := self.held.by_number.get(number)):
+        if not (held_query := self.held.by_number.get(query)):
             return True
         # The upstream may have moved to another zone or kind meanwhile.
-        permitted = not query.attempts or query.terms.allows(query.attempts[-1][0].entry)
-        return permitted and self.held.may_repeat(now, query, query.suspects, 1)
+        permitted = not held_query.attempts or held_query.terms.allows(held_query.attempts[-1][0].entry)
+        return permitted and self.held.may_repeat(now, held_query, held_query.suspects, 1)
 
-    def left(self, now: int, number: int) -> None:
+    def client_left(self, now: int, query: int) -> None:
         """The client of a query has disconnected."""
-        if query := self.held.by_number.get(number):
-            self.close(query)
+        if held_query := self.held.by_number.get(query):
+            self.close(held_query)
 
-    def probed(self, now: int, upstream: int, ok: bool, duration: int, report: Report | None) -> None:
-        """Records the result of a probe, which took `duration` ns."""
-        if target := self.roster.by_id.get(upstream):
+    def probe_ended(
+        self, now: int, upstream: int, success: bool, duration_ns: int, report: Report | None
+    ) -> None:
+        """Records the result of a probe, which took `duration_ns`."""
+        if target := self.registry.by_id.get(upstream):
             target.probe_in_flight, target.latest_report = (
                 False,
                 (now, report) if report is not None else target.latest_report,
             )
-            self.canary_ended(now, target, ok and not self.is_slow(duration, 0))
+            self.canary_ended(now, target, success and not self.is_slow(duration_ns, 0))
 
-    def woken(self, now: int) -> None:
+    def timer_fired(self, now: int) -> None:
         """A timer has fired; if it is an earlier one than the one last asked for, that is still pending."""
         self.wake_at = self.NEVER if now >= self.wake_at - MILLISECOND else self.wake_at
 
@@ -239,9 +245,9 @@
         if outcome == DONE and upstream.broke and now >= upstream.warm_at:
             upstream.assumed_cold, upstream.warm_at = (
                 (now + self.RESTART_REPORT_NS, upstream.warm_at),
-                now + self.roster.ramp,
+                now + self.registry.ramp,
             )
-            self.roster.refresh_at = now
+            self.registry.refresh_at = now
         lost = outcome in (UNREACHABLE, RESET) and not upstream.is_alive(now)
         upstream.broke = outcome != DONE and (upstream.broke or lost)
         # A timeout counts as a failure only if other answers take much less time.
@@ -252,19 +258,19 @@
             success = not self.is_slow(duration, dispatch[1])
         if canary:
             return self.canary_ended(now, upstream, success)
-        # All dispatches sent before a FULL answer met the same full queue: they count as one failure.
-        if outcome == FULL and dispatch[0] < upstream.full_at:
+        # All dispatches sent before a REJECTED answer met the same full queue: they count as one failure.
+        if outcome == REJECTED and dispatch[0] < upstream.full_at:
             return
-        upstream.full_at = now if outcome == FULL else upstream.full_at
-        if outcome == UNREACHABLE and self.permits.streams > 1 and upstream.is_alive(now):
+        upstream.full_at = now if outcome == REJECTED else upstream.full_at
+        if outcome == UNREACHABLE and self.permits.streams_per_connection > 1 and upstream.is_alive(now):
             # Its connections are in use by other sidecars, so that the next dispatch would be refused too. It
             # does not count as a failure of its zone, or zones would fail over.
             self.health.eject(now, upstream)
-            self.roster.refresh_at = now
+            self.registry.refresh_at = now
             return
         if self.health.record(now, upstream, success):
             self.pending.append(("note", f"ejected {upstream.entry.upstream}"))
-            self.roster.refresh_at = self.due_at = now
+            self.registry.refresh_at = self.due_at = now
         if outcome in (DONE, UNREACHABLE, RESET, TIMED_OUT):
             self.group.dispatch_ended(now, upstream.entry.zone, outcome == DONE)
             self.due_at = self.due_at if outcome == DONE else now
@@ -275,7 +281,7 @@
         Such a dispatch waits on a silent connection; the upstream itself answers.
         """
         for (number, attempt), (earlier, in_flight) in (
-            list(upstream.in_flight.items()) if self.permits.cancel else ()
+            list(upstream.in_flight.items()) if self.permits.may_cancel else ()
         ):
             query, overtaken = (
                 self.held.by_number[number],
@@ -288,7 +294,7 @@
     def canary_ended(self, now: int, upstream: Upstream, success: bool) -> None:
         if upstream.canary_in_flight:
             self.health.canary_ended(now, upstream, success)
-            self.roster.refresh_at = now
+            self.registry.refresh_at = now
         if self.group.canary_sent and upstream.entry.zone == self.group.canary_zone:
             self.group.canary_ended(now, success)
         self.due_at = now
@@ -301,13 +307,13 @@
 
     def close(self, query: Query) -> None:
         """Ends a query, and cancels its dispatches if the settings allow it."""
-        if not query.ended and self.permits.cancel:
+        if not query.ended and self.permits.may_cancel:
             self.pending.extend(("cancel", query.number, attempt) for attempt in query.in_flight)
         query.ended = True
         if not query.in_flight:
             self.held.by_number.pop(query.number, None)
 
-    def decide(self, now: int) -> Decision | None:
+    def next_decision(self, now: int) -> Decision | None:
         """The next decision to carry out, or None if there is none."""
         if self.due_at <= now:
             self.run_due(now)
@@ -329,7 +335,7 @@
         if (note := self.group.step(now)) is not None:
             self.pending.append(("note", note))
         self.due_at = min(self.follow_at, max(self.group.next_step_at(now), now + self.GROUP_STEP_NS))
-        if self.permits.probes:
+        if self.permits.may_probe:
             while (upstream := self.next_canary(now, None)) is not None:
                 upstream.probe_in_flight = True
                 self.pending.append(("probe", upstream.entry.upstream))
@@ -349,7 +355,7 @@
         """
         group = self.group
         if group.canary_zone is not None and not group.canary_sent:
-            zone = self.roster.ready[group.canary_zone]
+            zone = self.registry.ready[group.canary_zone]
             zone = [upstream for upstream in zone if terms is None or terms.allows(upstream.entry)]
             if candidates := [
                 upstream for upstream in zone if not upstream.probe_in_flight and self.allows(now, upstream)
@@ -371,7 +377,7 @@
         if not self.held.may_dispatch(now, query):
             return self.answer(now, query, 0)
         may_be_canary = query.terms.effect == self.canary_effect and not (
-            self.permits.probes or query.attempts
+            self.permits.may_probe or query.attempts
         )
         if may_be_canary and (canary := self.next_canary(now, query.terms)) is not None:
             query.is_canary = True
@@ -387,16 +393,16 @@
 
         It is the pick in the first zone whose expected latency is accepted, else the fastest of all picks.
         """
-        accepted = int(query.terms.agreed * (self.ACCEPTED_SHARE + self.permits.crossing))
-        if now >= self.roster.refresh_at:
-            self.roster.refresh(now)
+        accepted = int(query.terms.agreed_time_ns * (self.ACCEPTED_SHARE + self.permits.cross_zone_cost))
+        if now >= self.registry.refresh_at:
+            self.registry.refresh(now)
         if now - self.latency.updated_at > min(SECOND, lifetime := self.latency.sample_lifetime(now)):
             self.latency.update(now)
         best, fastest, median = None, 0, self.latency.median
         # Where a connection carries many queries, only one upstream is used of each zone other than the first
         # and the home zones, and a query goes no further than the zone after home: otherwise these queries
         # would take all connections.
-        zones, few_connections = self.group.zones(now), self.permits.streams > 1
+        zones, few_connections = self.group.zones(now), self.permits.streams_per_connection > 1
         # A query restricted to zones does not fail over from them.
         if (allowed_zones := query.terms.zones) is not None:
             zones = [zone for zone in self.group.zone_order if zone in allowed_zones]
@@ -411,7 +417,7 @@
             ready, cold = self.candidates(now, query, zone, single)
             pair, zone_mean = (
                 self.picker.pair(ready, cold),
-                self.latency.zone_mean(now, zone, self.roster.ready[zone]),
+                self.latency.zone_mean(now, zone, self.registry.ready[zone]),
             )
             for _ in range(self.PAIR_DRAWS if position < 2 else 1):
                 if not (pair := pair or self.picker.pair(ready, [])):
@@ -435,11 +441,13 @@
         self, now: int, query: Query, zone: int, single: bool
     ) -> tuple[list[Upstream], list[Upstream]]:
         """The upstreams of a zone that may get a query: warm ones, and at most one cold one in its budget."""
-        ready = self.roster.subset(now, zone, self.latency.arrival_times, single)
-        cold = [upstream for upstream in self.roster.cold[zone] if self.allows(now, upstream)]
+        ready = self.registry.subset(now, zone, self.latency.arrival_times, single)
+        cold = [upstream for upstream in self.registry.cold[zone] if self.allows(now, upstream)]
         if query.attempts or query.terms.restricted:
             permitted = [
-                upstream for upstream in self.roster.warm[zone] + cold if self.held.may_go_to(query, upstream)
+                upstream
+                for upstream in self.registry.warm[zone] + cold
+                if self.held.may_go_to(query, upstream)
             ]
             cold = [upstream for upstream in cold if upstream in permitted]
             ready = [upstream for upstream in ready if upstream in permitted] or [
@@ -471,5 +479,7 @@
         """Bounces a query if a retry is harmless, with a jittered delay by `after` (ns); else aborts it."""
         bounce = self.held.may_bounce(query)
         self.close(query)
-        delay = min(max(after, self.MIN_RETRY_NS), self.permits.come_back) * self.random_uniform(0.75, 1.0)
+        delay = min(max(after, self.MIN_RETRY_NS), self.permits.max_retry_delay_ns) * self.random_uniform(
+            0.75, 1.0
+        )
         return ("bounce", query.number, int(delay)) if bounce else ("abort", query.number)
--- a/maddercart/policy/group.py
+++ b/maddercart/policy/group.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from maddercart.interface import SECOND, Place
+from maddercart.interface import SECOND, SidecarPosition
 from maddercart.policy.ranks import hash_pair
 from maddercart.policy.upstream import Upstream
 
@@ -30,7 +30,7 @@
     CANARY_TIMEOUT_NS = SECOND  # a canary without a result counts as failed
     RETURN_RAMP_NS = 3 * SECOND  # after the return the share of the home zones rises from none to all
 
-    def __init__(self, place: Place, random: Random) -> None:
+    def __init__(self, place: SidecarPosition, random: Random) -> None:
         self.random_uniform, self.random = random.uniform, random.random
         self.set_place(place)
         self.state, self.backup_zone = PRIMARY, place.zone  # backup_zone: the one that is tried or serves
@@ -41,13 +41,13 @@
         self.canary_zone: int | None = None  # None: no canary is wanted or in flight
         self.canary_sent, self.canary_deadline = False, 0
 
-    def set_place(self, place: Place) -> None:
+    def set_place(self, place: SidecarPosition) -> None:
         self.zone_order = sorted(
-            range(place.zones), key=lambda zone: (zone != place.zone, hash_pair(place.number, zone))
+            range(place.zone_count), key=lambda zone: (zone != place.zone, hash_pair(place.number, zone))
         )
         self.home_zones, self.backup_zones = self.zone_order[:1], self.zone_order[1:]
 
-    def renew(self, now: int, place: Place, zones: Sequence[int]) -> None:
+    def renew(self, now: int, place: SidecarPosition, zones: Sequence[int]) -> None:
         """Applies a new place and new zone numbers, indexed by the old ones; -1: no longer exists.
 
         A state whose backup zone no longer exists, or is the home zone now, ends.
--- a/maddercart/policy/ledger.py
+++ b/maddercart/policy/ledger.py
@@ -52,22 +52,22 @@
         ):
             return False
         if suspects and query.terms.effect == LABELLED:
-            return now - query.attempts[min(suspects)][1] < query.terms.window
+            return now - query.attempts[min(suspects)][1] < query.terms.deduplication_window_ns
         return not suspects or query.terms.effect == REDOABLE
 
     def may_go_to(self, query: Query, upstream: Upstream) -> bool:
         """Whether an upstream may get a query: not twice, and a repeat stays in its deduplication scope."""
         if any(upstream is tried for tried, _ in query.attempts) or not query.terms.allows(upstream.entry):
             return False
-        if query.terms.effect != LABELLED or query.terms.group == EVERYWHERE:
+        if query.terms.effect != LABELLED or query.terms.deduplication_scope == EVERYWHERE:
             return True
-        scope = "zone" if query.terms.group == SAME_ZONE else "cell"
+        scope = "zone" if query.terms.deduplication_scope == SAME_ZONE else "cell"
         suspects = [query.attempts[attempt][0].entry for attempt in query.suspects]
         return all(getattr(entry, scope) == getattr(upstream.entry, scope) for entry in suspects)
 
     def may_bounce(self, query: Query) -> bool:
         """Whether a retry by the client is harmless, so that the query may be bounced rather than aborted."""
-        deduplicated = query.terms.effect == LABELLED and query.terms.group == EVERYWHERE
+        deduplicated = query.terms.effect == LABELLED and query.terms.deduplication_scope == EVERYWHERE
         return deduplicated or query.terms.effect == REDOABLE or not (query.in_flight or query.suspects)
 
 
--- a/maddercart/policy/roster.py
+++ b/maddercart/policy/roster.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from itertools import chain
 
-from maddercart.interface import DRAINING, GONE, READY, SECOND, ColdRule, Entry, Place
+from maddercart.interface import DRAINING, GONE, READY, SECOND, ListEntry, SidecarPosition, SlowStartRule
 from maddercart.policy.ranks import hash_rank
 from maddercart.policy.upstream import Upstream
 
@@ -20,20 +20,27 @@
     MAX_DRAINED = 4096  # twice the upstreams of the largest fleet; the oldest entries are long gone
     MAX_SIZE = 1e6  # beyond any machine: a size that is not between 0 and this counts as 1
 
-    def __init__(self, place: Place, cold: ColdRule, moving: bool) -> None:
+    def __init__(self, place: SidecarPosition, cold: SlowStartRule, moving: bool) -> None:
         self.by_id: dict[int, Upstream] = {}
         # Where only draining is binding: the start time of each process that was seen draining, by upstream.
         self.drained: dict[int, int] = {}
         self.configure(place, cold, moving)
 
-    def configure(self, place: Place, cold: ColdRule, moving: bool) -> None:
-        self.sidecar, self.ramp, self.cold_window, self.moving = place.number, cold.ramp, cold.window, moving
+    def configure(self, place: SidecarPosition, cold: SlowStartRule, moving: bool) -> None:
+        self.sidecar, self.ramp, self.cold_window, self.moving = (
+            place.number,
+            cold.ramp_ns,
+            cold.window_ns,
+            moving,
+        )
         # By zone: the ready upstreams by rank; of these, unless ejected, the warm and the cold ones.
-        self.ready: list[list[Upstream]] = [[] for _ in range(place.zones)]
+        self.ready: list[list[Upstream]] = [[] for _ in range(place.zone_count)]
         self.warm = self.cold = self.ready
         self.refresh_at = 0  # when the next cold upstream becomes warm
 
-    def learn(self, now: int, entries: Sequence[Entry], whole: bool, draining_binds: bool = False) -> None:
+    def update_list(
+        self, now: int, entries: Sequence[ListEntry], is_complete: bool, draining_binds: bool = False
+    ) -> None:
         """Applies a list or changes of it.
 
         An upstream that drains or is gone gets no query from now on, also within its grace period. It is
@@ -43,26 +50,26 @@
         # it ready by mistake.
         if draining_binds:
             self.drained.update(
-                (seen.upstream, seen.launched) for seen in entries if seen.condition == DRAINING
+                (seen.upstream, seen.started_at) for seen in entries if seen.condition == DRAINING
             )
             while len(self.drained) > self.MAX_DRAINED:
                 del self.drained[next(iter(self.drained))]
             entries = [
-                entry._replace(condition=DRAINING) if self.drained.get(entry.upstream, -1) >= entry.launched
+                entry._replace(condition=DRAINING) if self.drained.get(entry.upstream, -1) >= entry.started_at
                 and entry.condition == READY else entry for entry in entries
             ]  # fmt: skip
-        for old in self.by_id.values() if whole else ():
+        for old in self.by_id.values() if is_complete else ():
             old.entry = old.entry._replace(condition=GONE)
         for entry in entries:
             size, upstream = (
                 entry.size if 0 < entry.size < self.MAX_SIZE else 1.0,
                 self.by_id.get(entry.upstream),
             )
-            if upstream is None or entry.launched > upstream.entry.launched:
+            if upstream is None or entry.started_at > upstream.entry.started_at:
                 # It has restarted: all but the dispatches in flight belongs to the old process.
                 in_flight = upstream.in_flight if upstream else {}
                 upstream = self.by_id[entry.upstream] = Upstream(entry, in_flight)
-                upstream.warm_at = entry.launched + self.ramp if entry.launched else 0
+                upstream.warm_at = entry.started_at + self.ramp if entry.started_at else 0
             upstream.entry, upstream.listed_size, upstream.max_listed_size = (
                 entry,
                 size,
@@ -87,7 +94,7 @@
             upstream.renumber(zones, kinds)
             old_warm_at, upstream.warm_at = (
                 upstream.warm_at,
-                upstream.entry.launched and upstream.entry.launched + self.ramp,
+                upstream.entry.started_at and upstream.entry.started_at + self.ramp,
             )
             # It counts as cold again: dispatches that it got while it counted as warm were not recorded.
             if old_warm_at <= now < upstream.warm_at:
--- a/maddercart/policy/upstream.py
+++ b/maddercart/policy/upstream.py
@@ -3,7 +3,7 @@
 from collections import deque
 from collections.abc import Sequence
 
-from maddercart.interface import SECOND, Entry, Report
+from maddercart.interface import SECOND, ListEntry, Report
 
 
 class Upstream:
@@ -16,7 +16,7 @@
     LISTED_SIZES = 4
     FRESH_NS = SECOND // 2  # the queue may have turned over since an older report or answer
 
-    def __init__(self, entry: Entry, in_flight: dict[tuple[int, int], tuple[int, int]]) -> None:
+    def __init__(self, entry: ListEntry, in_flight: dict[tuple[int, int], tuple[int, int]]) -> None:
         # `size` is the capacity in use, `listed_size` the last one on the list. Until `budget_blocked_until`
         # a cold upstream has no budget.
         self.entry, self.size, self.listed_size, self.warm_at, self.budget_blocked_until = (
@@ -39,7 +39,7 @@
         self.cold_dispatch_times: deque[int] = deque()  # dispatches sent while the upstream was cold
         self.latest_report: tuple[int, Report] | None = None  # (received at, report)
         # Consecutive failures (negative: successes); failed canaries and ejections since the upstream was
-        # last healthy; when it last answered FULL.
+        # last healthy; when it last answered REJECTED.
         self.failures = self.ejections = self.full_at = 0
         # Unreachable or reset, with no answer since; (assumed cold until, `warm_at` to restore), (0, 0) if it
         # is not assumed to be cold.
--- a/maddercart/rig/commands.py
+++ b/maddercart/rig/commands.py
@@ -20,10 +20,10 @@
     """Parses `host:port`; exits with an error unless it is a loopback address."""
     import ipaddress
 
-    from maddercart.net.sockets import address
+    from maddercart.net.sockets import parse_address
 
     try:
-        host, port = address(text)
+        host, port = parse_address(text)
         if not ipaddress.IPv4Address(host).is_loopback:
             raise ValueError(f"{text!r} is not a loopback address")
     except ValueError as error:
@@ -48,9 +48,9 @@
     at run time (up, silent, down, errors, slow, drain, cold; `&figure=0.5`); `/-/runs` returns how often each
     request id took effect, `/-/counts` its counters."""
     from maddercart.net.loop import Loop
-    from maddercart.rig.standin import InvalidFault, StandIn, Terms, parse_fault
-    from maddercart.sidecar.clock import Clock
-    from maddercart.sidecar.signals import await_signals
+    from maddercart.rig.standin import InvalidFault, StandInServer, StandInSettings, parse_fault
+    from maddercart.sidecar.clock import MonotonicClock
+    from maddercart.sidecar.signals import install_signal_handlers
 
     endpoints = [loopback_address(text) for text in addresses]
     try:
@@ -58,17 +58,17 @@
     except InvalidFault as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_USAGE) from error
-    clock = Clock()
+    clock = MonotonicClock()
     loop = Loop(clock)
 
     def stop() -> None:
         loop.stopped = True
 
-    await_signals(loop, stop, lambda: None)
+    install_signal_handlers(loop, stop, lambda: None)
     for n, endpoint in enumerate(endpoints):
-        terms = Terms(work_ms, spread, cores, room, cold_start, ramp, seed=seed + n, faults=faults)
+        terms = StandInSettings(work_ms, spread, cores, room, cold_start, ramp, seed=seed + n, faults=faults)
         try:
-            typer.echo("{}:{}".format(*StandIn(loop, clock, endpoint, terms).at))
+            typer.echo("{}:{}".format(*StandInServer(loop, clock, endpoint, terms).address))
         except OSError as error:
             typer.echo(f"{addresses[n]}: {error.strerror}", err=True)
             raise typer.Exit(EXIT_USAGE) from error
@@ -96,8 +96,8 @@
 ) -> None:  # fmt: skip
     """Runs an open-loop load; latencies count from when a request was due. Exit code 1 if an answer was lost
     or late, or a request took effect twice."""
-    from maddercart.rig.load import Asked, Shape
-    from maddercart.rig.outcomes import print_outcome, run_processes, twice
+    from maddercart.rig.load import LoadShape, RequestTemplate
+    from maddercart.rig.outcomes import print_outcome, repeated_effects, run_processes
 
     endpoint = loopback_address(to)
     server_endpoints = [loopback_address(text) for text in runs or []]
@@ -108,13 +108,14 @@
         (name.strip(), value.strip()) for name, _, value in (line.partition(":") for line in header or [])
     )
     shapes = [
-        Shape(kind, rate / processes, up_to / processes, seconds, seed * 1000 + n) for n in range(processes)
+        LoadShape(kind, rate / processes, up_to / processes, seconds, seed * 1000 + n)
+        for n in range(processes)
     ]
-    asked = Asked(method, path, host, headers, body, patience, marked)
+    asked = RequestTemplate(method, path, host, headers, body, patience, marked)
     outcome = run_processes(endpoint, shapes, asked)
-    doubled = twice(outcome, server_endpoints)
+    doubled = repeated_effects(outcome, server_endpoints)
     print_outcome(outcome, doubled, json, plot)
-    if outcome.fates["lost"] + outcome.fates["late"] or doubled:
+    if outcome.fate_counts["lost"] + outcome.fate_counts["late"] or doubled:
         raise typer.Exit(1)
 
 
@@ -126,10 +127,10 @@
 ) -> None:
     """Runs stand-ins in two zones, a gateway and load; one zone falls silent and recovers. Prints what
     clients saw, second by second, with the gateway's changes of state beside it."""
-    from maddercart.rig.demo import play
+    from maddercart.rig.demo import run_demo
 
-    outcome, _ = play(rate, seconds, lost, back, show_line=lambda text: typer.echo(text))
-    table = outcome.table()
+    outcome, _ = run_demo(rate, seconds, lost, back, show_line=lambda text: typer.echo(text))
+    table = outcome.figures()
     typer.echo("in all: " + ", ".join(f"{name} {value:g}" for name, value in table.items()))
 
 
@@ -142,16 +143,18 @@
     code 1 if there is a violation."""
     import logging
 
-    from maddercart.rig.plays import play
+    from maddercart.rig.plays import run_play
 
     logging.disable(logging.CRITICAL)
     failed = 0
     for seed in range(first, first + count):
-        result = play(seed)
-        failed += bool(result.broken)
-        summary = f"asked {result.asked}, done {result.done}, withdrawn {result.withdrawn}"
-        typer.echo(f"{seed}: {result.description}; {summary}; rules {'BROKEN' if result.broken else 'kept'}")
-        for violation in result.broken[:5]:
+        result = run_play(seed)
+        failed += bool(result.violations)
+        summary = f"asked {result.queries}, done {result.succeeded}, withdrawn {result.withdrawn}"
+        typer.echo(
+            f"{seed}: {result.description}; {summary}; rules {'BROKEN' if result.violations else 'kept'}"
+        )
+        for violation in result.violations[:5]:
             typer.echo(f"    {violation}")
     typer.echo(f"{count} plays, rules broken in {failed}")
     raise typer.Exit(1 if failed else 0)
@@ -174,12 +177,14 @@
 
     failed = 0
     with ProcessPoolExecutor(parallel) as pool:
-        for result in pool.map(partial(run_soak, span=seconds, logs=logs), range(first, first + count)):
-            failed += bool(result.broken)
+        for result in pool.map(
+            partial(run_soak, duration_seconds=seconds, log_folder=logs), range(first, first + count)
+        ):
+            failed += bool(result.violations)
             summary = f"{result.requests} requests, {result.answered} answered, {result.attempts} attempts"
-            verdict = f"{len(result.broken)} BROKEN" if result.broken else "rules kept"
+            verdict = f"{len(result.violations)} BROKEN" if result.violations else "rules kept"
             typer.echo(f"{result.seed}: {summary}; {', '.join(result.events)}; {verdict}")
-            for violation in result.broken[:8]:
+            for violation in result.violations[:8]:
                 typer.echo(f"    {violation}")
     typer.echo(f"{count} soaks, rules broken in {failed}")
     raise typer.Exit(1 if failed else 0)
--- a/maddercart/rig/network.py
+++ b/maddercart/rig/network.py
@@ -14,7 +14,7 @@
 from typing import Any, cast
 
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.net.machine import Machine
+from maddercart.net.machine import SystemCalls
 
 Address = tuple[str, int]
 # A Unix time, so that list entries can state when an upstream was launched.
@@ -25,8 +25,8 @@
 ONE_WAY_DELAY_NS = 300 * MICROSECOND  # network latency between two machines
 
 
-class SimulatedNetwork(Machine):
-    """Holds the clock, the scheduled callbacks and the listeners; stands in for `Machine`."""
+class SimulatedNetwork(SystemCalls):
+    """Holds the clock, the scheduled callbacks and the listeners; stands in for `SystemCalls`."""
 
     def __init__(self) -> None:
         self.now = START_TIME_NS
--- a/maddercart/rig/outcomes.py
+++ b/maddercart/rig/outcomes.py
@@ -10,7 +10,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from maddercart.rig.load import FATES, Asked, Outcome, Shape, play
+from maddercart.rig.load import FATES, LoadResult, LoadShape, RequestTemplate, run_load
 
 # (fates, statuses, (fates, latencies in ms) by second, encoded histogram, behind_ms, fates by request id)
 ProcessResult = tuple[
@@ -18,43 +18,47 @@
 ]
 
 
-def run_one(address: tuple[str, int], shape: Shape, template: Asked, id_prefix: str) -> ProcessResult:
+def run_one(
+    address: tuple[str, int], shape: LoadShape, template: RequestTemplate, id_prefix: str
+) -> ProcessResult:
     """Runs a load in a worker process and returns its results in a form that can be pickled."""
-    result = play(address, shape, template, id_prefix)
-    seconds = {second: (stats.fates, stats.times) for second, stats in result.seconds.items()}
+    result = run_load(address, shape, template, id_prefix)
+    seconds = {second: (stats.fate_counts, stats.latencies_ms) for second, stats in result.by_second.items()}
     return (
-        result.fates,
-        result.statuses,
+        result.fate_counts,
+        result.status_counts,
         seconds,
         result.histogram.encode().decode(),
         result.behind_ms,
-        result.answers,
+        result.fate_by_request,
     )
 
 
-def run_processes(address: tuple[str, int], shapes: Sequence[Shape], template: Asked) -> Outcome:
+def run_processes(
+    address: tuple[str, int], shapes: Sequence[LoadShape], template: RequestTemplate
+) -> LoadResult:
     if len(shapes) == 1:
-        return play(address, shapes[0], template, "p0")
-    total = Outcome()
+        return run_load(address, shapes[0], template, "p0")
+    total = LoadResult()
     with ProcessPoolExecutor(len(shapes), mp_context=get_context("spawn")) as pool:
         futures = [pool.submit(run_one, address, shape, template, f"p{n}") for n, shape in enumerate(shapes)]
         for future in futures:
             fates, statuses, seconds, histogram, behind_ms, answers = future.result()
-            total.fates += fates
-            total.statuses += statuses
+            total.fate_counts += fates
+            total.status_counts += statuses
             total.histogram.add(HdrHistogram.decode(histogram))
             total.behind_ms = max(total.behind_ms, behind_ms)
-            total.answers |= answers
+            total.fate_by_request |= answers
             for second, (second_fates, times) in seconds.items():
                 from maddercart.rig.load import SecondStats
 
-                stats = total.seconds.setdefault(second, SecondStats())
-                stats.fates += second_fates
-                stats.times += times
+                stats = total.by_second.setdefault(second, SecondStats())
+                stats.fate_counts += second_fates
+                stats.latencies_ms += times
     return total
 
 
-def twice(outcome: Outcome, servers: Sequence[tuple[str, int]]) -> list[str]:
+def repeated_effects(outcome: LoadResult, servers: Sequence[tuple[str, int]]) -> list[str]:
     """Request ids of this load that took effect more than once, summed over the given stand-ins."""
     runs: Counter[str] = Counter()
     for host, port in servers:
@@ -63,17 +67,19 @@
         runs += Counter(msgspec.json.decode(connection.getresponse().read(), type=dict[str, int]))
         connection.close()
     return sorted(
-        request_id for request_id, count in runs.items() if count > 1 and request_id in outcome.answers
+        request_id
+        for request_id, count in runs.items()
+        if count > 1 and request_id in outcome.fate_by_request
     )
 
 
-def print_outcome(outcome: Outcome, doubled: Sequence[str], json: bool, plot: Path | None) -> None:
-    table = outcome.table()
-    statuses = {str(status): count for status, count in sorted(outcome.statuses.items())}
+def print_outcome(outcome: LoadResult, doubled: Sequence[str], json: bool, plot: Path | None) -> None:
+    table = outcome.figures()
+    statuses = {str(status): count for status, count in sorted(outcome.status_counts.items())}
     if json:
         seconds = {
-            second: {**stats.fates, "p50_ms": median(stats.times)}
-            for second, stats in sorted(outcome.seconds.items())
+            second: {**stats.fate_counts, "p50_ms": median(stats.latencies_ms)}
+            for second, stats in sorted(outcome.by_second.items())
         }
         report = {**table, "statuses": statuses, "doubled": doubled, "seconds": seconds}
         print(msgspec.json.encode(report).decode())
@@ -94,19 +100,19 @@
     return sorted(times)[len(times) // 2] if times else 0.0
 
 
-def draw_plot(outcome: Outcome, path: Path) -> None:
+def draw_plot(outcome: LoadResult, path: Path) -> None:
     import matplotlib as mpl
 
     mpl.use("Agg")
     from matplotlib import pyplot as plt
 
     figure, (upper, lower) = plt.subplots(2, 1, figsize=(8, 4), sharex=True)
-    seconds = sorted(outcome.seconds)
-    rows = [[outcome.seconds[second].fates[name] for second in seconds] for name in FATES]
+    seconds = sorted(outcome.by_second)
+    rows = [[outcome.by_second[second].fate_counts[name] for second in seconds] for name in FATES]
     upper.stackplot(seconds, *rows, labels=FATES, step="post")
     upper.legend(fontsize=7, ncols=6, frameon=False)
     upper.set_ylabel("requests a second")
-    lower.plot(seconds, [median(outcome.seconds[second].times) for second in seconds])
+    lower.plot(seconds, [median(outcome.by_second[second].latencies_ms) for second in seconds])
     lower.set_ylabel("p50 ms")
     lower.set_xlabel("seconds")
     figure.savefig(path, bbox_inches="tight")
--- a/maddercart/rig/plays.py
+++ b/maddercart/rig/plays.py
@@ -22,8 +22,8 @@
     FakeUpstreams,
     ListVersion,
 )
-from maddercart.sidecar.configuration import usable
-from maddercart.sidecar.node import Node
+from maddercart.sidecar.configuration import parse_configuration
+from maddercart.sidecar.node import SidecarNode
 
 LISTEN_ADDRESS, PEER_LISTEN_ADDRESS = ("10.0.0.4", 5000), ("10.0.0.4", 7946)
 DISCOVERY_ADDRESSES = (("10.2.0.1", 8500), ("10.2.0.2", 8501))
@@ -40,9 +40,9 @@
 
     seed: int
     description: str  # discovery mode, drain grace and events
-    broken: list[str]  # one line for each rule violation
-    asked: int  # queries that clients sent
-    done: int  # queries answered with status 200
+    violations: list[str]  # one line for each rule violation
+    queries: int  # queries that clients sent
+    succeeded: int  # queries answered with status 200
     withdrawn: int  # dispatches that the sidecar withdrew, over all its processes
 
 
@@ -171,7 +171,7 @@
         """Reloads the configuration with the second discovery service; the first stops 1.5 s later."""
         former, self.active_discovery = self.discoveries[0], 1
         self.lifetimes[-1].moved_at = self.network.now
-        self.node.renew()
+        self.node.reload()
         self.network.schedule_after(SECOND + SECOND // 2, former.stop)
         if self.rng.random() < 0.5:  # the new service is overloaded at first
             successor = self.discoveries[1]
@@ -213,7 +213,7 @@
         }).encode()  # fmt: skip
 
     def usable(self, known: dict[str, Any]) -> Config:
-        return usable(self.configuration(known))
+        return parse_configuration(self.configuration(known))
 
     def start_sidecar(self) -> None:
         # Otherwise the new process starts with the known list of the previous start.
@@ -222,12 +222,12 @@
         known = self.known
         self.lifetimes.append(SidecarLifetime(self.network.now, known["seq"]))
         loop = Loop(self.network.clock, self.network)
-        self.node = Node(self.usable(known), lambda: self.usable(known), loop)
+        self.node = SidecarNode(self.usable(known), lambda: self.usable(known), loop)
         self.node.start()
 
     def replace_sidecar(self) -> None:
         """Ends the sidecar process with all its sockets and starts another; open queries are excused."""
-        self.withdrawn += self.node.decisions.counts["withdrawn"]
+        self.withdrawn += self.node.driver.counts["withdrawn"]
         self.lifetimes[-1].ended_at = self.network.now
         for query in self.unanswered():
             query.excused = True
@@ -249,7 +249,7 @@
             network.schedule_at(started_at + int(event_time_s * SECOND), self.event_callback(kind))
         self.clients.send_until(rng.choice([10, 30]) * MILLISECOND, started_at + DURATION_NS - 4 * SECOND)
         while network.now < started_at + DURATION_NS:
-            self.node.loop.turn()
+            self.node.loop.run_once()
             if self.node.loop.stopped:
                 self.replace_sidecar()
         settings = RuleSettings(
@@ -269,7 +269,7 @@
         description = (
             f"{'push' if self.push else 'ask'} grace {self.drain_grace // MILLISECOND} ms, {' '.join(events)}"
         )
-        withdrawn = self.withdrawn + self.node.decisions.counts["withdrawn"]
+        withdrawn = self.withdrawn + self.node.driver.counts["withdrawn"]
         return PlayResult(
             self.seed, description, check_rules(observed), len(self.clients.queries), done, withdrawn
         )
@@ -278,6 +278,6 @@
         return lambda: self.apply_event(kind)
 
 
-def play(seed: int) -> PlayResult:
+def run_play(seed: int) -> PlayResult:
     """Generates and runs the play of a seed."""
     return Play(seed).run()
--- a/maddercart/rig/processes/discovery.py
+++ b/maddercart/rig/processes/discovery.py
@@ -13,7 +13,7 @@
 JsonObject = dict[str, Any]
 
 
-class Trouble(Enum):
+class DiscoveryFault(Enum):
     """How calls to a service fail."""
 
     NONE = auto()
@@ -63,7 +63,7 @@
 
     def __init__(self, registry: UpstreamRegistry) -> None:
         self.registry = registry
-        self.fault = Trouble.NONE
+        self.fault = DiscoveryFault.NONE
         self.retired = False  # its sidecar is configured with another service: it does not recover any more
         self.healthy_since = time.monotonic()
         self.past_healthy_spans: list[tuple[float, float]] = []  # (start, end)
@@ -79,9 +79,9 @@
         self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", 0)
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
-    def begin(self, fault: Trouble) -> None:
+    def begin_fault(self, fault: DiscoveryFault) -> None:
         """Makes all calls fail from now on and resets the open watches."""
-        if self.fault == Trouble.NONE:
+        if self.fault == DiscoveryFault.NONE:
             self.past_healthy_spans.append((self.healthy_since, time.monotonic()))
         self.fault = fault
         for writer in list(self.watches):
@@ -89,12 +89,12 @@
         self.watches.clear()
 
     def recover(self) -> None:
-        if self.fault != Trouble.NONE and not self.retired:
-            self.fault, self.healthy_since = Trouble.NONE, time.monotonic()
+        if self.fault != DiscoveryFault.NONE and not self.retired:
+            self.fault, self.healthy_since = DiscoveryFault.NONE, time.monotonic()
 
     def healthy_spans(self) -> list[tuple[float, float]]:
         """The spans (start, end) in which calls are answered; the end of the current one is infinite."""
-        current = [(self.healthy_since, float("inf"))] if self.fault == Trouble.NONE else []
+        current = [(self.healthy_since, float("inf"))] if self.fault == DiscoveryFault.NONE else []
         return [*self.past_healthy_spans, *current]
 
     def silence_watches(self) -> None:
@@ -122,13 +122,13 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.call_times.append(time.monotonic())
-                if self.fault == Trouble.RESET:
+                if self.fault == DiscoveryFault.RESET:
                     writer.transport.abort()
                     return
-                if self.fault == Trouble.HANG:
+                if self.fault == DiscoveryFault.HANG:
                     await reader.read()
                     return
-                if self.fault == Trouble.UNAVAILABLE:
+                if self.fault == DiscoveryFault.UNAVAILABLE:
                     writer.write(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
                 elif b"watch=1" in head:
                     self.readers[writer] = reader
--- a/maddercart/rig/processes/judge.py
+++ b/maddercart/rig/processes/judge.py
@@ -8,8 +8,8 @@
 
 from maddercart.rig.processes.clients import ClientRequest
 from maddercart.rig.processes.plan import ProcessRun, SoakRecord
-from maddercart.rig.processes.sidecar import GRACE
-from maddercart.rig.processes.tier import Tier
+from maddercart.rig.processes.sidecar import STOP_SENDING_WITHIN_SECONDS
+from maddercart.rig.processes.tier import SidecarGroup
 from maddercart.rig.processes.upstreams import Attempt
 
 # A sidecar may take 0.15 s from reading its clock to the write, and the sockets 0.05 s.
@@ -23,8 +23,8 @@
 class RuleChecker:
     """Finds the violations of the rules in one soak. All instants are monotonic seconds."""
 
-    def __init__(self, tier: Tier, record: SoakRecord) -> None:
-        self.tier, self.record = tier, record
+    def __init__(self, group: SidecarGroup, record: SoakRecord) -> None:
+        self.group, self.record = group, record
 
     def violations(self) -> list[str]:
         """One line for each violation."""
@@ -38,7 +38,7 @@
 
     def crashes(self) -> list[str]:
         codes = [code for code in self.record.exit_codes if code != 0]
-        codes += [code for sidecar in self.tier.sidecars for code in sidecar.crash_exit_codes]
+        codes += [code for sidecar in self.group.sidecars for code in sidecar.crash_exit_codes]
         return [f"crash: a sidecar ended with {code}" for code in codes]
 
     # -- requests
@@ -51,7 +51,9 @@
 
     def lost_requests(self) -> list[str]:
         lost = [
-            request for request in self.tier.asked if request.loss_reason and not self.lost_by_kill(request)
+            request
+            for request in self.group.requests
+            if request.loss_reason and not self.lost_by_kill(request)
         ]
         return [
             f"lost: {request.trace_id} at {request.sidecar}, {request.sent_at:.3f}: {request.loss_reason}"
@@ -61,9 +63,9 @@
     def duplicates(self) -> list[str]:
         """Requests of the offering `once` that ran more than once."""
         runs: dict[str, int] = defaultdict(int)
-        for attempt in self.tier.attempts:
+        for attempt in self.group.attempts:
             runs[attempt.trace_id] += attempt.ran
-        once = {request.trace_id for request in self.tier.asked if request.offering == "once"}
+        once = {request.trace_id for request in self.group.requests if request.offering == "once"}
         return [
             f"duplicate: {trace_id} ran {runs[trace_id]} times"
             for trace_id in sorted(once)
@@ -72,9 +74,9 @@
 
     def ill_timed_attempts(self) -> list[str]:
         """Attempts that began after their client had disconnected, or with more time than it has left."""
-        requests = {request.trace_id: request for request in self.tier.asked}
+        requests = {request.trace_id: request for request in self.group.requests}
         violations = []
-        for attempt in self.tier.attempts:
+        for attempt in self.group.attempts:
             if (request := requests.get(attempt.trace_id)) is None:
                 continue
             if (
@@ -95,13 +97,13 @@
     def attempts_after_drains(self) -> list[str]:
         """Attempts that went to a draining or deleted upstream after the grace time was over."""
         violations = []
-        for attempt in self.tier.attempts:
+        for attempt in self.group.attempts:
             sequence = self.removed_in(attempt)
             run = self.run_of(attempt)
             if sequence is None or run is None:
                 continue
             late = attempt.first_byte_at - self.told_at(run, sequence)
-            if late > GRACE + SEND_DELAY_SECONDS:
+            if late > STOP_SENDING_WITHIN_SECONDS + SEND_DELAY_SECONDS:
                 where = f"{attempt.host} from {attempt.sidecar} at {attempt.first_byte_at:.3f}"
                 violations.append(f"drain: {attempt.trace_id} to {where}, {late:.3f} s after it was told")
         return violations
@@ -109,7 +111,7 @@
     def removed_in(self, attempt: Attempt) -> int | None:
         """The version that took the attempt's upstream out of service, None if it was serving."""
         removed_in: int | None = None
-        for version in self.tier.registry.versions:
+        for version in self.group.registry.versions:
             if version.made_at > attempt.first_byte_at:
                 break
             for entry in version.entries:
@@ -130,7 +132,7 @@
         That is when a service wrote it to the sidecar, or at the latest 6 s after the sidecar could have
         fetched it from a service that went on answering all that time.
         """
-        made_at = self.tier.registry.versions[sequence].made_at
+        made_at = self.group.registry.versions[sequence].made_at
         told_at = NEVER
         for use in [use for use in self.record.service_uses if use.sidecar == run.sidecar]:
             write_times = [written_at for written_at, written in use.service.writes if written >= sequence]
--- a/maddercart/rig/processes/plan.py
+++ b/maddercart/rig/processes/plan.py
@@ -6,9 +6,9 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from maddercart.rig.processes.discovery import FakeDiscoveryService, Trouble
+from maddercart.rig.processes.discovery import DiscoveryFault, FakeDiscoveryService
 from maddercart.rig.processes.sidecar import HARD_STOP_SECONDS, SidecarProcess
-from maddercart.rig.processes.tier import Tier
+from maddercart.rig.processes.tier import SidecarGroup
 
 SIGKILL_DELAY_SECONDS = HARD_STOP_SECONDS + 0.7  # after SIGTERM
 CLOCK_OFFSETS_SECONDS = (-3600.0, -5.0, -3.0, 0.0, 3.0, 20.0, 400.0, 3600.0)
@@ -64,15 +64,15 @@
         "drain",
     )
 
-    def __init__(self, tier: Tier, record: SoakRecord) -> None:
-        self.tier, self.rng, self.record = tier, tier.rng, record
+    def __init__(self, group: SidecarGroup, record: SoakRecord) -> None:
+        self.group, self.rng, self.record = group, group.rng, record
         self.tasks: list[asyncio.Task[None]] = []
 
     def record_start(self, sidecar: SidecarProcess) -> None:
         """Records that a process of the sidecar was started just now."""
         now = time.monotonic()
         self.record.runs.append(ProcessRun(sidecar.name, now))
-        self.record.service_uses.append(ServiceUse(sidecar.name, self.tier.services[sidecar.name], now))
+        self.record.service_uses.append(ServiceUse(sidecar.name, self.group.services[sidecar.name], now))
 
     async def run(self, duration_seconds: float) -> None:
         """Plays six to nine events, then stops all sidecars; `duration_seconds` covers both."""
@@ -89,18 +89,18 @@
             max(0.0, started_at + duration_seconds - SIGKILL_DELAY_SECONDS - time.monotonic())
         )
         await asyncio.gather(*self.tasks)
-        await asyncio.gather(*(self.terminate(sidecar) for sidecar in self.tier.sidecars))
+        await asyncio.gather(*(self.terminate(sidecar) for sidecar in self.group.sidecars))
 
     def step_random_clock(self) -> None:
-        self.rng.choice(self.tier.sidecars).step_wall_clock(self.rng.choice(CLOCK_OFFSETS_SECONDS))
+        self.rng.choice(self.group.sidecars).set_wall_clock_offset(self.rng.choice(CLOCK_OFFSETS_SECONDS))
 
     async def play(self, event: str) -> None:
-        sidecar = self.rng.choice(self.tier.sidecars)
+        sidecar = self.rng.choice(self.group.sidecars)
         match event:
             case "outage":
                 await self.discovery_outage()
             case "silence":
-                for service in self.tier.services.values():
+                for service in self.group.services.values():
                     service.silence_watches()
                 await asyncio.sleep(self.rng.uniform(0, 1))
                 self.drain_upstreams()
@@ -117,7 +117,7 @@
             case "crowd":
                 await self.open_idle_connections(sidecar)
             case "hang":
-                upstream = self.rng.choice(self.tier.upstreams)
+                upstream = self.rng.choice(self.group.upstreams)
                 upstream.hangs = True
                 await asyncio.sleep(self.rng.uniform(0.5, 3))
                 upstream.hangs = False
@@ -126,18 +126,18 @@
 
     async def discovery_outage(self) -> None:
         """Fails the discovery service of one sidecar or of all, with a drain during or right after it."""
-        fault = self.rng.choice([Trouble.UNAVAILABLE, Trouble.RESET, Trouble.HANG])
-        names = list(self.tier.services)
+        fault = self.rng.choice([DiscoveryFault.UNAVAILABLE, DiscoveryFault.RESET, DiscoveryFault.HANG])
+        names = list(self.group.services)
         affected = self.rng.choice([names, self.rng.sample(names, 1)])
         for name in affected:
-            self.tier.services[name].begin(fault)
+            self.group.services[name].begin_fault(fault)
         drain_during_outage = self.rng.random() < 0.5
         await asyncio.sleep(self.rng.uniform(0.5, 4))
         if drain_during_outage:
             self.drain_upstreams()
         await asyncio.sleep(self.rng.uniform(0, 4))
         for name in affected:
-            for service in [self.tier.services[name], *self.tier.former_services[name]]:
+            for service in [self.group.services[name], *self.group.former_services[name]]:
                 service.recover()
         if not drain_during_outage:
             self.drain_upstreams()
@@ -147,33 +147,33 @@
 
         If fewer than five are serving, one that was taken out before comes back first, as newly started.
         """
-        health_by_host = {entry["host"]: entry["health"] for entry in self.tier.registry.snapshot()["hosts"]}
+        health_by_host = {entry["host"]: entry["health"] for entry in self.group.registry.snapshot()["hosts"]}
         serving = [
-            upstream for upstream in self.tier.upstreams if health_by_host.get(upstream.host) == "SERVING"
+            upstream for upstream in self.group.upstreams if health_by_host.get(upstream.host) == "SERVING"
         ]
-        removed = [upstream for upstream in self.tier.upstreams if upstream not in serving]
+        removed = [upstream for upstream in self.group.upstreams if upstream not in serving]
         if removed and len(serving) < 5:
             returning = self.rng.choice(removed)
-            self.tier.registry.publish(self.tier.entry(returning, "SERVING", time.time() * 1000))
+            self.group.registry.publish(self.group.entry(returning, "SERVING", time.time() * 1000))
         health = self.rng.choice(["DRAINING", "DRAINING", "DELETED"])
-        self.tier.change(health, *self.rng.sample(serving, min(2, max(0, len(serving) - 3))))
+        self.group.publish_health(health, *self.rng.sample(serving, min(2, max(0, len(serving) - 3))))
 
     async def move_discovery(self, sidecar: SidecarProcess) -> None:
         """Configures the sidecar with a new discovery service and retires the old one 1.5 s later."""
-        service = await self.tier.move_discovery(sidecar)
+        service = await self.group.move_discovery(sidecar)
         sidecar.send_signal(signal.SIGHUP)
         now = time.monotonic()
         for use in self.record.service_uses:
             if use.sidecar == sidecar.name:
                 use.until = min(use.until, now)
         self.record.service_uses.append(ServiceUse(sidecar.name, service, now))
-        former = self.tier.former_services[sidecar.name][-1]
+        former = self.group.former_services[sidecar.name][-1]
         self.tasks.append(asyncio.create_task(self.retire_later(former)))
 
     async def retire_later(self, service: FakeDiscoveryService) -> None:
         await asyncio.sleep(1.5)
         service.retired = True
-        service.begin(Trouble.RESET)
+        service.begin_fault(DiscoveryFault.RESET)
 
     async def open_idle_connections(self, sidecar: SidecarProcess) -> None:
         """Opens many connections, sends nothing on them and resets them after at most 1.5 s."""
@@ -215,7 +215,7 @@
         if sidecar.is_running():
             return
         if self.rng.random() < 0.5:
-            sidecar.configure(known=self.tier.registry.snapshot())
+            sidecar.configure(known=self.group.registry.snapshot())
         sidecar.start()
         self.record_start(sidecar)
         await asyncio.to_thread(sidecar.wait_until_ready)
--- a/maddercart/rig/processes/sidecar.py
+++ b/maddercart/rig/processes/sidecar.py
@@ -13,7 +13,7 @@
 from maddercart.rig.processes.faulty import FAULTS_VARIABLE, WALL_CLOCK_VARIABLE
 
 # The settings `ask_within`, `stop_sending_within` and `hard_stop`, in seconds.
-ASK_WITHIN_SECONDS, GRACE, HARD_STOP_SECONDS = 10.0, 1.0, 1.5
+ASK_WITHIN_SECONDS, STOP_SENDING_WITHIN_SECONDS, HARD_STOP_SECONDS = 10.0, 1.0, 1.5
 # The semantics of each offering, as the settings write them, by its name.
 OFFERINGS = {"look": "free", "post": "guarded", "once": "single_shot"}
 
@@ -40,9 +40,14 @@
             {"name": name, "semantics": semantics} | terms for name, semantics in OFFERINGS.items()
         ],
         "limits": limits | {"connect_timeout": 0.25, "idle_close": 30.0, "may_tell": sidecar_count > 1},
-        "rules": rules | {"ask_within": ASK_WITHIN_SECONDS, "stop_sending_within": GRACE},
-        "discovery": "ask", "self_index": index, "group_size": sidecar_count, "zones": ["a"], "kinds": ["m"],
-    }  # fmt: skip
+        "rules": rules
+        | {"ask_within": ASK_WITHIN_SECONDS, "stop_sending_within": STOP_SENDING_WITHIN_SECONDS},
+        "discovery": "ask",
+        "self_index": index,
+        "group_size": sidecar_count,
+        "zones": ["a"],
+        "kinds": ["m"],
+    }
 
 
 class SidecarProcess:
@@ -61,7 +66,7 @@
             "name": self.name, "listen": format_address(self.listen_address), "seed": f"{index + 1:x}",
             "settings": build_settings(index, sidecar_count), "limits": {"sockets": 512, "memory_mb": 192},
         }  # fmt: skip
-        self.step_wall_clock(0)
+        self.set_wall_clock_offset(0)
         self.start_count = 0
         self.process: subprocess.Popen[bytes] | None = None
         self.crash_exit_codes: list[int] = []  # of processes that `stop` found already ended
@@ -72,7 +77,7 @@
         self.configuration |= changes
         self.config_file.write_text(json.dumps(self.configuration))
 
-    def step_wall_clock(self, seconds: float) -> None:
+    def set_wall_clock_offset(self, seconds: float) -> None:
         """Sets the offset of the wall clock that the process reads from now on; it outlives a restart."""
         self.wall_clock_file.write_text(str(seconds))
 
--- a/maddercart/rig/processes/tier.py
+++ b/maddercart/rig/processes/tier.py
@@ -13,7 +13,7 @@
 from maddercart.rig.processes.upstreams import Attempt, FakeUpstream
 
 
-class Tier:
+class SidecarGroup:
     """A sidecar group as an asynchronous context manager, which kills the processes at its end."""
 
     def __init__(
@@ -21,7 +21,7 @@
     ) -> None:
         self.rng = Random(seed)
         self.attempts: list[Attempt] = []
-        self.asked: list[ClientRequest] = []
+        self.requests: list[ClientRequest] = []
         self.sidecars = [
             SidecarProcess(folder, index, sidecar_count, faults) for index in range(sidecar_count)
         ]
@@ -33,7 +33,7 @@
         self.former_services: dict[str, list[FakeDiscoveryService]] = {}  # by sidecar name
         self.clients: list[asyncio.Task[None]] = []
 
-    async def __aenter__(self) -> "Tier":
+    async def __aenter__(self) -> "SidecarGroup":
         self.dial_addresses = {upstream.host: await upstream.start() for upstream in self.upstreams}
         self.registry = UpstreamRegistry([self.entry(upstream, "SERVING") for upstream in self.upstreams])
         relay = PeerRelay([sidecar.peer_address for sidecar in self.sidecars])
@@ -61,11 +61,11 @@
         """The discovery entry of an upstream that started at `born_ms` (Unix time in ms)."""
         return upstream.entry(self.dial_addresses[upstream.host], health, born_ms)
 
-    def change(self, health: str, *upstreams: FakeUpstream) -> None:
+    def publish_health(self, health: str, *upstreams: FakeUpstream) -> None:
         """Publishes a new health (SERVING, DRAINING or DELETED) of the upstreams."""
         self.registry.publish(*(self.entry(upstream, health) for upstream in upstreams))
 
-    async def start(self) -> None:
+    async def start_sidecars(self) -> None:
         """Starts all sidecars and waits until they are ready."""
         for sidecar in self.sidecars:
             sidecar.start()
@@ -73,23 +73,25 @@
 
     def set_random_clock_offsets(self) -> None:
         for sidecar in self.sidecars:
-            sidecar.step_wall_clock(self.rng.choice([0, 0, 5, -5, 3600, -3600]))
+            sidecar.set_wall_clock_offset(self.rng.choice([0, 0, 5, -5, 3600, -3600]))
 
     async def wait_until_ready(self) -> None:
         await asyncio.gather(*(asyncio.to_thread(sidecar.wait_until_ready) for sidecar in self.sidecars))
 
-    def begin_clients(self, each: int, pause: float, span: float) -> None:
-        """Starts `each` clients at each sidecar for `span` seconds.
+    def start_clients(
+        self, clients_per_sidecar: int, mean_pause_seconds: float, duration_seconds: float
+    ) -> None:
+        """Starts `clients_per_sidecar` clients at each sidecar for `duration_seconds` seconds.
 
-        `pause` is the mean time between two requests of a client, in seconds.
+        `mean_pause_seconds` is the mean time between two requests of a client, in seconds.
         """
-        until = time.monotonic() + span
+        until = time.monotonic() + duration_seconds
         for sidecar in self.sidecars:
-            for _ in range(each):
-                client = Client(sidecar, self.asked, Random(self.rng.getrandbits(32)))
-                self.clients.append(asyncio.create_task(client.run(until, pause)))
+            for _ in range(clients_per_sidecar):
+                client = Client(sidecar, self.requests, Random(self.rng.getrandbits(32)))
+                self.clients.append(asyncio.create_task(client.run(until, mean_pause_seconds)))
 
-    async def clients_done(self) -> None:
+    async def wait_for_clients(self) -> None:
         await asyncio.gather(*self.clients)
 
     async def move_discovery(self, sidecar: SidecarProcess) -> FakeDiscoveryService:
--- a/maddercart/rig/standin.py
+++ b/maddercart/rig/standin.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from maddercart.http.application import ApplicationSide, Request, Unreadable
+from maddercart.http.application import Request, RequestError, ServerProtocol
 from maddercart.interface import MILLISECOND, SECOND
 from maddercart.net.loop import READ, Coroutine, Loop, Task, Wait
 from maddercart.net.sockets import accept, close, listen, read, write
-from maddercart.sidecar.clock import Clock
+from maddercart.sidecar.clock import MonotonicClock
 
 FAULTS = ("up", "silent", "down", "errors", "slow", "drain", "cold")
 IDLE_TIMEOUT_NS = 60 * SECOND  # idle timeout of a connection between requests
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class StandInSettings:
     """Settings of a stand-in.
 
     A request takes `work_ms` of one core on average, log-normally distributed with `spread` as the standard
@@ -74,38 +74,44 @@
     faults: tuple[Fault, ...] = field(default=())
 
 
-class StandIn:
-    """One server on one address. `runs` counts by request id how often a request took effect."""
+class StandInServer:
+    """One server on one address. `effects_by_request` counts by request id how often a request took
+    effect."""
 
-    def __init__(self, loop: Loop, clock: Clock, at: tuple[str, int], terms: Terms) -> None:
-        self.loop, self.clock, self.terms = loop, clock, terms
-        self.rng = Random(terms.seed)
-        self.listener = listen(at)
-        self.at: tuple[str, int] = self.listener.getsockname()
+    def __init__(
+        self, loop: Loop, clock: MonotonicClock, address: tuple[str, int], settings: StandInSettings
+    ) -> None:
+        self.loop, self.clock, self.settings = loop, clock, settings
+        self.rng = Random(settings.seed)
+        self.listener = listen(address)
+        self.address: tuple[str, int] = self.listener.getsockname()
         self.state, self.state_value = "up", 1.0
         self.cold_since = -(1 << 60)  # when the last cold start began; at first so long ago that it is warm
-        self.core_free_at = [0] * terms.cores  # a heap of the instants at which each core becomes free
+        self.core_free_at = [0] * settings.cores  # a heap of the instants at which each core becomes free
         self.queued_starts: list[int] = []  # a heap of the instants at which queued requests start
-        self.runs: Counter[str] = Counter()
+        self.effects_by_request: Counter[str] = Counter()
         self.key_used_at: dict[str, int] = {}  # last use of each idempotency key
         self.counts: Counter[str] = Counter()
         self.connections: set[Task] = set()
-        self.acceptor: Task | None = loop.spawn(self.accept())
+        self.accept_task: Task | None = loop.spawn(self.accept_connections())
         started_at = clock()
-        for fault in terms.faults:
-            loop.at(started_at + fault.delay, lambda fault=fault: self.fail(fault.kind, fault.value))  # type: ignore[misc]
+        for fault in settings.faults:
+            loop.call_at(
+                started_at + fault.delay,
+                lambda fault=fault: self.set_state(fault.kind, fault.value),  # type: ignore[misc]
+            )
 
     # -- faults
 
-    def fail(self, kind: str, value: float) -> None:
+    def set_state(self, kind: str, value: float) -> None:
         """Enters a state; `value` as in `Fault`.
 
         `down` closes the listener and all connections; any other kind then opens the address again. `cold`
         starts the cold ramp anew, in state `up`.
         """
         if self.state == "down" and kind != "down":
-            self.listener = listen(self.at)
-            self.acceptor = self.loop.spawn(self.accept())
+            self.listener = listen(self.address)
+            self.accept_task = self.loop.spawn(self.accept_connections())
         if kind == "down" and self.state != "down":
             self.shut_down()
         if kind == "cold":
@@ -114,28 +120,28 @@
 
     def shut_down(self) -> None:
         """Closes the listener and all connections, and drops all work in progress."""
-        if self.acceptor is not None:
-            self.loop.end(self.acceptor)
-        self.loop.forget(self.listener.fileno())
+        if self.accept_task is not None:
+            self.loop.close(self.accept_task)
+        self.loop.unregister(self.listener.fileno())
         self.listener.close()
         for task in list(self.connections):
-            self.loop.end(task)
-        self.core_free_at, self.queued_starts = [0] * self.terms.cores, []
+            self.loop.close(task)
+        self.core_free_at, self.queued_starts = [0] * self.settings.cores, []
 
     # -- serving
 
-    def accept(self) -> Coroutine:
+    def accept_connections(self) -> Coroutine:
         while True:
             yield Wait(self.listener.fileno(), READ)
             while (sock := accept(self.listener)) is not None:
                 own_task: list[Task] = []
                 task = self.loop.spawn(self.serve_connection(sock, own_task))
                 own_task.append(task)
-                if not task.over:
+                if not task.finished:
                     self.connections.add(task)
 
     def serve_connection(self, sock: socket.socket, own_task: list[Task]) -> Coroutine:
-        side = ApplicationSide(1 << 24)
+        side = ServerProtocol(1 << 24)
         try:
             while not side.closing:
                 request = side.next_request()
@@ -147,9 +153,11 @@
                 reply = yield from self.answer(request)
                 status, headers, body = reply
                 closing = self.state == "drain"
-                if not (yield from write(sock, side.answer(status, headers, body, closing), None)):
+                if not (
+                    yield from write(sock, side.serialize_response(status, headers, body, closing), None)
+                ):
                     return
-        except (OSError, Unreadable):
+        except (OSError, RequestError):
             pass
         finally:
             if own_task:
@@ -159,37 +167,39 @@
     def answer(self, request: Request):  # type: ignore[no-untyped-def]
         path, _, query = request.target.decode("latin-1").partition("?")
         if path.startswith("/-/"):
-            return self.told(path, query)
+            return self.answer_control(path, query)
         while self.state == "silent":
-            yield Wait(until=self.clock() + SECOND // 10)
+            yield Wait(deadline=self.clock() + SECOND // 10)
             # The client has long given up a request that came during the silence.
             if self.state != "silent":
-                return reply(500, b"was silent")
+                return make_reply(500, b"was silent")
         now = self.clock()
         self.counts["came"] += 1
         if self.state == "errors" and self.rng.random() < self.state_value:
             self.counts["failed"] += 1
-            return reply(500, b"failed")
+            return make_reply(500, b"failed")
         while self.queued_starts and self.queued_starts[0] <= now:
             heappop(self.queued_starts)
-        if len(self.queued_starts) >= self.terms.queue_limit:
+        if len(self.queued_starts) >= self.settings.queue_limit:
             self.counts["full"] += 1
-            return reply(503, b"full", never_ran=True)
+            return make_reply(503, b"full", never_ran=True)
         finish = self.schedule_work(now)
         headers = {name.lower(): value.decode("latin-1") for name, value in request.headers}
-        self.take_effect(now, headers.get(b"x-request-id", ""), headers.get(b"idempotency-key", ""))
-        yield Wait(until=finish)
-        return reply(200, b"x" * self.terms.body_bytes)
+        self.record_effect(now, headers.get(b"x-request-id", ""), headers.get(b"idempotency-key", ""))
+        yield Wait(deadline=finish)
+        return make_reply(200, b"x" * self.settings.body_bytes)
 
     def schedule_work(self, now: int) -> int:
         """Assigns the work to the core that is free first; returns when it will be done."""
-        progress = (now - self.cold_since) / SECOND / max(self.terms.ramp_seconds, 1e-9)
+        progress = (now - self.cold_since) / SECOND / max(self.settings.ramp_seconds, 1e-9)
         speed = (
-            1.0 if progress >= 1 else self.terms.cold_speed + (1 - self.terms.cold_speed) * max(0.0, progress)
+            1.0
+            if progress >= 1
+            else self.settings.cold_speed + (1 - self.settings.cold_speed) * max(0.0, progress)
         )
         slowdown = self.state_value if self.state == "slow" else 1.0
-        duration_ms = self.terms.work_ms * self.rng.lognormvariate(
-            -(self.terms.spread**2) / 2, self.terms.spread
+        duration_ms = self.settings.work_ms * self.rng.lognormvariate(
+            -(self.settings.spread**2) / 2, self.settings.spread
         )
         start = max(now, heappop(self.core_free_at))
         finish = start + int(duration_ms * slowdown / speed * MILLISECOND)
@@ -198,37 +208,37 @@
             heappush(self.queued_starts, start)
         return finish
 
-    def take_effect(self, now: int, request_id: str, key: str) -> None:
+    def record_effect(self, now: int, request_id: str, key: str) -> None:
         """Counts an execution, unless the idempotency key was used recently. Empty `key`: none."""
         if key:
             last_used_at = self.key_used_at.get(key)
             self.key_used_at[key] = now
-            if last_used_at is not None and now - last_used_at < self.terms.key_memory_seconds * SECOND:
+            if last_used_at is not None and now - last_used_at < self.settings.key_memory_seconds * SECOND:
                 self.counts["repeats_dropped"] += 1
                 return
-        self.runs[request_id] += 1
+        self.effects_by_request[request_id] += 1
         self.counts["ran"] += 1
 
-    def told(self, path: str, query: str) -> "Reply":
+    def answer_control(self, path: str, query: str) -> "Reply":
         """Answers a request to a control path below `/-/`."""
         if path == "/-/runs":
-            return reply(200, msgspec.json.encode(self.runs))
+            return make_reply(200, msgspec.json.encode(self.effects_by_request))
         if path == "/-/counts":
-            return reply(200, msgspec.json.encode({**self.counts, "waiting": len(self.queued_starts)}))
+            return make_reply(200, msgspec.json.encode({**self.counts, "waiting": len(self.queued_starts)}))
         if path == "/-/fault":
             arguments = {name: values[0] for name, values in parse_qs(query).items()}
             try:
                 fault = parse_fault(f"0:{arguments.get('kind', '')}:{arguments.get('figure', '')}")
             except InvalidFault as error:
-                return reply(400, str(error).encode())
-            self.loop.at(self.clock(), lambda: self.fail(fault.kind, fault.value))
-            return reply(200, b"so be it")
-        return reply(404, b"unknown")
+                return make_reply(400, str(error).encode())
+            self.loop.call_at(self.clock(), lambda: self.set_state(fault.kind, fault.value))
+            return make_reply(200, b"so be it")
+        return make_reply(404, b"unknown")
 
 
 Reply = tuple[int, list[tuple[bytes, bytes]], bytes]  # (status, headers, body)
 
 
-def reply(status: int, body: bytes, never_ran: bool = False) -> Reply:
+def make_reply(status: int, body: bytes, never_ran: bool = False) -> Reply:
     headers = [(b"Content-Length", b"%d" % len(body))]
     return status, headers + [(b"X-Never-Ran", b"1")] * never_ran, body
--- a/maddercart/sidecar/applications.py
+++ b/maddercart/sidecar/applications.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable, Generator
 from enum import Enum, auto
 
-from maddercart.http.application import MOST_BODY, ApplicationSide, Request, Unreadable
+from maddercart.http.application import MAX_BODY_BYTES, Request, RequestError, ServerProtocol
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.messages.answer import Reply, unfit
-from maddercart.net.loop import NOTHING, READ, TIME_UP, WOKEN, Coroutine, Loop, Task, Wait
-from maddercart.net.sockets import accept, close, ended, read, read_now, write
+from maddercart.messages.answer import ClientResponse, client_error_response
+from maddercart.net.loop import DEADLINE_PASSED, NO_EVENTS, READ, WOKEN, Coroutine, Loop, Task, Wait
+from maddercart.net.sockets import accept, close, closed_by_peer, read, read_available, write
 from maddercart.sidecar.decisions import BalancerDriver
-from maddercart.sidecar.fronts import Front, Unfit
+from maddercart.sidecar.fronts import RejectedRequest, RequestHandler
 
 log = logging.getLogger(__name__)
 
@@ -46,12 +46,12 @@
     )  # fmt: skip
 
     def __init__(self, sock: socket.socket, max_body: int) -> None:
-        self.sock, self.protocol = sock, ApplicationSide(max_body)
+        self.sock, self.protocol = sock, ServerProtocol(max_body)
         self.phase, self.phase_deadline = Phase.BUSY, 0
         self.task: Task | None = None
         self.query_number = 0  # of the query that awaits its answer; 0: none
         self.driver: BalancerDriver | None = None  # holds that query
-        self.reply: Reply | None = None
+        self.reply: ClientResponse | None = None
         self.waiting = False  # the task waits for the reply and must be woken
 
     def is_silent(self) -> bool:
@@ -62,7 +62,7 @@
             return True
 
 
-class Applications:
+class ApplicationServer:
     """Accepts and serves the connections of one listener."""
 
     WRITE_TIMEOUT_NS = 10 * SECOND  # for an answer: a client that stalls while reading holds a descriptor
@@ -70,38 +70,41 @@
     ACCEPT_RETRY_NS = 20 * MILLISECOND  # where connection slots or descriptors have run out
     ACCEPT_BATCH = 32  # connections accepted in a turn: hundreds at once must not delay those being served
 
-    def __init__(self, loop: Loop, clock: Callable[[], int], front: Front, counts: Counter[str]) -> None:
-        self.loop, self.clock, self.front, self.counts = loop, clock, front, counts
-        self.most, self.most_body = 1, MOST_BODY  # connections; bytes of a request's body
+    def __init__(
+        self, loop: Loop, clock: Callable[[], int], handler: RequestHandler, counts: Counter[str]
+    ) -> None:
+        self.loop, self.clock, self.handler, self.counts = loop, clock, handler, counts
+        # connections; bytes of a request's body
+        self.max_connections, self.max_body_bytes = 1, MAX_BODY_BYTES
         self.connections: set[ApplicationConnection] = set()
         # The connections in each phase and when they entered it, the longest first.
         self.phases: dict[Phase, dict[ApplicationConnection, int]] = {phase: {} for phase in Phase}
         self.stopping = False
         self.answer_deadline: int | None = None  # by which queries are answered while the process stops
-        self.acceptor: Task | None = None
+        self.accept_task: Task | None = None
 
     # -- accepting
 
-    def accept_from(self, listener: socket.socket) -> Coroutine:
+    def accept_connections(self, listener: socket.socket) -> Coroutine:
         """Accepts connections until it is ended."""
         while True:
             yield Wait(listener.fileno(), READ)
             try:
-                if len(self.connections) < self.most or self.make_room():
-                    self.accept_some(listener)
+                if len(self.connections) < self.max_connections or self.make_room():
+                    self.accept_batch(listener)
                     continue
             except OSError as error:
                 log.warning("connections can't be accepted", extra={"reason": str(error)})
-            yield Wait(until=self.clock() + self.ACCEPT_RETRY_NS)
+            yield Wait(deadline=self.clock() + self.ACCEPT_RETRY_NS)
 
-    def accept_some(self, listener: socket.socket, limit: int = ACCEPT_BATCH) -> bool:
+    def accept_batch(self, listener: socket.socket, limit: int = ACCEPT_BATCH) -> bool:
         """Accepts at most `limit` connections; true if there was nothing more to accept. Raises `OSError`."""
         for _ in range(limit):
-            if len(self.connections) >= self.most:
+            if len(self.connections) >= self.max_connections:
                 return False
             if (sock := accept(listener)) is None:
                 return True
-            connection = ApplicationConnection(sock, self.most_body)
+            connection = ApplicationConnection(sock, self.max_body_bytes)
             self.connections.add(connection)
             self.enter_phase(connection, Phase.NEW)
             connection.task = self.loop.spawn(self.serve(connection))
@@ -125,18 +128,21 @@
         connection is closed."""
         if connection.phase != Phase.PART:
             self.counts["crowded_out"] += 1
-            self.loop.end(task)
+            self.loop.close(task)
             return True
         if self.phases[Phase.REFUSED]:  # a refused connection will free its slot in a moment
             return False
-        self.loop.resume(task, TIME_UP)
+        self.loop.resume(task, DEADLINE_PASSED)
         return True
 
     def is_crowded(self) -> bool:
         """Whether a free slot is worth more than keeping a connection open: more than half of all slots are
         taken, and idle connections hold a third. A new connection for each query costs CPU, so neither silent
         connections alone nor many active ones are a reason to close."""
-        return 2 * len(self.connections) > self.most and 3 * len(self.phases[Phase.IDLE]) >= self.most
+        return (
+            2 * len(self.connections) > self.max_connections
+            and 3 * len(self.phases[Phase.IDLE]) >= self.max_connections
+        )
 
     def enter_phase(self, connection: ApplicationConnection, phase: Phase) -> None:
         now = self.clock()
@@ -168,21 +174,21 @@
                 request = protocol.next_request()
                 if request is None:
                     if protocol.closing or not (
-                        yield from write(sock, protocol.go_on(), self.write_deadline())
+                        yield from write(sock, protocol.continue_response(), self.write_deadline())
                     ):
                         return
-                    if protocol.begun and connection.phase != Phase.PART:
+                    if protocol.request_started and connection.phase != Phase.PART:
                         self.enter_phase(connection, Phase.PART)
                     data = yield from read(sock, connection.phase_deadline)
-                    if data is None and not protocol.begun:
+                    if data is None and not protocol.request_started:
                         return
                     if data is None:
-                        raise Unreadable(408, "the request did not come in time")
+                        raise RequestError(408, "the request did not come in time")
                     protocol.feed(data)
                     continue
-            except Unreadable as error:
+            except RequestError as error:
                 refusal = self.reject(error.status, str(error))
-                out = protocol.answer(refusal.status, refusal.headers(), refusal.body, close=True)
+                out = protocol.serialize_response(refusal.status, refusal.headers(), refusal.body, close=True)
                 self.enter_phase(connection, Phase.REFUSED)
                 if not (yield from write(sock, out, connection.phase_deadline)):
                     return
@@ -194,7 +200,7 @@
             # Clients that ask once and keep their connection would each hold a slot for two seconds: with
             # all slots taken, or all connections that the clients have, only 60 of 400 queries a second
             # were answered.
-            out = protocol.answer(
+            out = protocol.serialize_response(
                 reply.status, reply.headers(), reply.body, self.stopping or self.is_crowded()
             )
             if not (yield from write(sock, out, self.write_deadline())):
@@ -213,25 +219,25 @@
 
     def handle(
         self, connection: ApplicationConnection, request: Request
-    ) -> Generator[Wait, int, Reply | None]:
+    ) -> Generator[Wait, int, ClientResponse | None]:
         """The final answer to a request; None if the client has gone."""
-        opened = self.front.receive(request, connection.sock, self.stopping)
-        if isinstance(opened, Reply):
+        opened = self.handler.handle(request, connection.sock, self.stopping)
+        if isinstance(opened, ClientResponse):
             return opened
-        if isinstance(opened, Unfit):
+        if isinstance(opened, RejectedRequest):
             return self.reject(opened.status, opened.reason)
         connection.reply = None
         if self.answer_deadline is not None:
             left = max(MILLISECOND, self.answer_deadline - self.clock())
             opened.query.remaining = min(opened.query.remaining, left)
 
-        def on_reply(reply: Reply) -> None:
+        def on_reply(reply: ClientResponse) -> None:
             connection.reply, connection.query_number = reply, 0
             if connection.waiting and connection.task is not None:
                 self.loop.wake(connection.task)
 
         try:
-            number = opened.driver.take_query(opened.query, on_reply, lambda: ended(connection.sock))
+            number = opened.driver.take_query(opened.query, on_reply, lambda: closed_by_peer(connection.sock))
             if connection.reply is None:
                 connection.query_number, connection.driver, connection.waiting = number, opened.driver, True
                 client_gone = yield from self.wait_for_reply(connection)
@@ -239,21 +245,21 @@
                 if client_gone:
                     return None
         finally:
-            self.front.over(opened)
+            self.handler.query_finished(opened)
         return connection.reply
 
-    def reject(self, status: int, reason: str) -> Reply:
+    def reject(self, status: int, reason: str) -> ClientResponse:
         self.counts["unfit"] += 1
         log.debug("request rejected", extra={"status": status, "reason": reason})
-        return unfit(status, reason)
+        return client_error_response(status, reason)
 
     def wait_for_reply(self, connection: ApplicationConnection) -> Generator[Wait, int, bool]:
         """Waits until there is a reply; true if the client closed the connection first."""
         while connection.reply is None:
-            events = READ if connection.protocol.held < self.MAX_READ_AHEAD_BYTES else NOTHING
+            events = READ if connection.protocol.unparsed_bytes < self.MAX_READ_AHEAD_BYTES else NO_EVENTS
             if (yield Wait(connection.sock.fileno(), events)) == WOKEN:
                 continue
-            data = read_now(connection.sock)
+            data = read_available(connection.sock)
             if data == b"":
                 return True
             if data:
@@ -269,4 +275,4 @@
         """Closes connections without a request under way and without unread data."""
         for connection in [*self.phases[Phase.IDLE], *self.phases[Phase.NEW]]:
             if connection.task is not None and connection.is_silent():
-                self.loop.end(connection.task)
+                self.loop.close(connection.task)
--- a/maddercart/sidecar/backing.py
+++ b/maddercart/sidecar/backing.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
-from maddercart.interface import DRAINING, GONE, READY, Entry
+from maddercart.interface import DRAINING, GONE, READY, ListEntry
 from maddercart.messages.upstreams import Listing
 from maddercart.net.loop import Loop
 from maddercart.policy.balancer import Balancer
@@ -19,17 +19,17 @@
 log = logging.getLogger(__name__)
 
 
-def condition_counts(entries: Sequence[Entry]) -> dict[str, int]:
+def condition_counts(entries: Sequence[ListEntry]) -> dict[str, int]:
     """The number of entries in each condition."""
     count = Counter(entry.condition for entry in entries)
     return {"ready": count[READY], "draining": count[DRAINING], "gone": count[GONE]}
 
 
-def log_list(listing: Listing, entries: Sequence[Entry]) -> None:
+def log_list(listing: Listing, entries: Sequence[ListEntry]) -> None:
     log.info("list updated", extra={"seq": listing.seq, "whole": listing.whole, **condition_counts(entries)})
 
 
-class Backing:
+class UpstreamPool:
     """`arguments` are those of the `Balancer`, without the time and seed. `follow_list` is called when the
     balancer wants to subscribe to the list. `classify`: see `Dispatcher`."""
 
@@ -43,16 +43,16 @@
         self.dispatcher = Dispatcher(self.pool, clock, self.upstreams.may_send, classify)
         balancer = Balancer(clock(), seed, **arguments)
         self.heard_from_peers: set[int] = set()  # upstreams with entries that discovery has not confirmed
-        self.decisions = BalancerDriver(loop, clock, balancer, self.upstreams, self.dispatcher, follow_list)
+        self.driver = BalancerDriver(loop, clock, balancer, self.upstreams, self.dispatcher, follow_list)
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         return bool(self.upstreams.ready)
 
-    def learn(self, listings: Sequence[Listing]) -> None:
+    def apply_listings(self, listings: Sequence[Listing]) -> None:
         """Applies listings from discovery, or the last known one. Entries that only peers had sent are
         reverted first. No decision is pulled before all of it is applied: held queries would otherwise be
         sent by the reverted state, or by a listing that a later one of the same read replaces."""
-        updates: list[tuple[Sequence[Entry], bool]] = []  # entries, whether they are the whole list
+        updates: list[tuple[Sequence[ListEntry], bool]] = []  # entries, whether they are the whole list
         if self.heard_from_peers:
             known = self.upstreams.entries
             updates.append(
@@ -61,35 +61,36 @@
             self.heard_from_peers.clear()
         for listing in listings:
             former_ready = set(self.upstreams.ready)
-            entries = self.upstreams.learn(listing)
+            entries = self.upstreams.apply_listing(listing)
             if listing.whole or former_ready != self.upstreams.ready:
                 log_list(listing, entries)
             updates.append((entries, listing.whole))
-        self.decisions.update_upstreams(*updates)
-        self.pool.drop_unwanted()
+        self.driver.update_upstreams(*updates)
+        self.pool.close_unready()
 
-    def hear(self, entries: list[Entry]) -> None:
+    def apply_peer_entries(self, entries: list[ListEntry]) -> None:
         """Applies entries from other sidecars, used while discovery has sent nothing. The version stays, so
         that discovery still sends all changes. They don't open an upstream that drains or is gone by the
         known list: each query sent there would be withdrawn."""
         entries = [e for e in entries if e.condition != READY or e.upstream in self.upstreams.ready]
         self.heard_from_peers.update(entry.upstream for entry in entries)
-        self.upstreams.hear(entries)
+        self.upstreams.apply_peer_entries(entries)
         log.info("list entries received from peers", extra=condition_counts(entries))
-        self.decisions.update_upstreams((entries, False))
+        self.driver.update_upstreams((entries, False))
 
-    def list_failed(self, left: int | None = None) -> None:
-        """The subscription to the list failed; `left`: nanoseconds until what is missed counts as told."""
-        self.decisions.list_failed(left)
+    def on_list_failed(self, remaining_ns: int | None = None) -> None:
+        """The subscription to the list failed; `remaining_ns` is left until what is missed counts as
+        told."""
+        self.driver.on_list_failed(remaining_ns)
 
     def limit(self, connections: int, bodies: int, idle_close: int, connect_timeout: int) -> None:
         """Limits that may change while queries are held: connections, bytes of bodies being received, and
         durations in nanoseconds."""
         self.pool.max_connections = connections
         self.dispatcher.max_body_bytes = bodies
-        self.pool.most_body = bodies // 4
+        self.pool.max_body_bytes = bodies // 4
         self.pool.set_idle_close(idle_close)
-        self.dispatcher.connect_timeout = connect_timeout
+        self.dispatcher.connect_timeout_ns = connect_timeout
 
     def switch(self, zones: Sequence[str], kinds: Sequence[str], arguments: Mapping[str, Any]) -> bool:
         """Switches to other settings: everything that refers to an offering, zone or kind by number changes
@@ -98,5 +99,5 @@
         known = self.upstreams
         former_names = (list(known.zones), list(known.kinds))
         zone_numbers, kind_numbers = known.renumber(zones, kinds)
-        self.decisions.update_settings({**arguments, "zones": zone_numbers, "kinds": kind_numbers})
+        self.driver.update_settings({**arguments, "zones": zone_numbers, "kinds": kind_numbers})
         return former_names != (list(zones), list(kinds))
--- a/maddercart/sidecar/clock.py
+++ b/maddercart/sidecar/clock.py
@@ -3,7 +3,7 @@
 from time import monotonic_ns
 
 
-class Clock:
+class MonotonicClock:
     """Returns nanoseconds from an arbitrary origin; readings of different machines can't be compared."""
 
     def __call__(self) -> int:
--- a/maddercart/sidecar/decisions.py
+++ b/maddercart/sidecar/decisions.py
@@ -8,13 +8,13 @@
 
 from hdrh.histogram import HdrHistogram
 
-from maddercart.interface import DONE, MILLISECOND, Decision, Entry
-from maddercart.messages.answer import Reply, aborted, bounced, done
+from maddercart.interface import DONE, MILLISECOND, Decision, ListEntry
+from maddercart.messages.answer import ClientResponse, aborted_response, bounced_response, done_response
 from maddercart.messages.query import Query
-from maddercart.net.loop import SOON, Coroutine, Loop, Task, Wait
+from maddercart.net.loop import RANK_SOON, Coroutine, Loop, Task, Wait
 from maddercart.policy.balancer import Balancer
 from maddercart.sidecar.dispatches import Dispatcher, DispatchResult
-from maddercart.sidecar.endings import OUTCOMES, Ending
+from maddercart.sidecar.endings import OUTCOME_BY_ENDING, Ending
 from maddercart.sidecar.pool import Address
 from maddercart.sidecar.upstreams import Upstreams
 
@@ -26,7 +26,7 @@
     """A query that has no final answer yet."""
 
     query: Query
-    send_reply: Callable[[Reply], None]
+    send_reply: Callable[[ClientResponse], None]
     taken_at: int
     client_left: Callable[[], bool]
     client_gone: bool = False  # the client was seen to have left; the balancer has not been told yet
@@ -44,7 +44,7 @@
     task: Task | None = None
     trace: str = ""  # the trace id that the client gave the query
     address: Address | None = None
-    connected: bool = False  # from here on `may_begin` in `send_dispatch` decides whether it is still written
+    connected: bool = False  # from here on `may_write` in `send_dispatch` decides whether it is still written
 
 
 class BalancerDriver:
@@ -58,33 +58,35 @@
     ) -> None:  # fmt: skip
         self.loop, self.clock, self.balancer, self.upstreams = loop, clock, balancer, upstreams
         self.dispatcher, self.follow_list = dispatcher, follow_list
-        self.probe_by: Callable[[int], Query] | None = None  # makes the probe request for an upstream
-        self.whole = False  # Retry-After is given in whole seconds
-        self.taken = 0  # queries so far; also the number of the last one
+        self.make_probe: Callable[[int], Query] | None = None  # makes the probe request for an upstream
+        self.retry_after_whole_seconds = False  # Retry-After is given in whole seconds
+        self.query_count = 0  # queries so far; also the number of the last one
         self.held: dict[int, HeldQuery] = {}  # by query number
-        self.out: dict[tuple[int, int], PendingDispatch] = {}  # by (query number, shot)
+        self.pending: dict[tuple[int, int], PendingDispatch] = {}  # by (query number, shot)
         # Dispatches whose result the balancer has not been told yet.
         self.unreported: deque[tuple[PendingDispatch, DispatchResult]] = deque()
-        self.settling = False  # `settle` is running
+        self.pulling_decisions = False  # `pull_decisions` is running
         self.counts: Counter[str] = Counter()  # events since the last log line of counts
-        self.times = HdrHistogram(1, 60_000, 2)  # milliseconds from a query to its answer
+        self.latencies_ms = HdrHistogram(1, 60_000, 2)  # milliseconds from a query to its answer
 
     # -- events
 
     def take_query(
-        self, query: Query, send_reply: Callable[[Reply], None],
+        self, query: Query, send_reply: Callable[[ClientResponse], None],
         client_left: Callable[[], bool] = lambda: False,
     ) -> int:  # fmt: skip
         """Takes a query and returns its number. The query's time counts from when its last byte came, so the
         balancer is told how far the loop lags behind. `client_left` is asked before each attempt whether the
         client has closed its connection."""
-        self.taken += 1
+        self.query_count += 1
         self.counts["taken"] += 1
-        number, now = self.taken, self.clock()
+        number, now = self.query_count, self.clock()
         self.held[number] = HeldQuery(query, send_reply, now, client_left)
-        lag = self.loop.behind()
-        self.balancer.take(now, number, query.offering, query.remaining, lag, most=query.most)
-        self.settle()
+        lag = self.loop.max_event_delay()
+        self.balancer.take_query(
+            now, number, query.offering, query.remaining, lag, max_dispatches=query.max_dispatches
+        )
+        self.pull_decisions()
         return number
 
     def drop_query(self, number: int) -> None:
@@ -92,82 +94,82 @@
         if (held := self.held.pop(number, None)) is not None:
             self.counts["left"] += 1
             if log.isEnabledFor(logging.DEBUG):
-                trace = held.query.trace.decode("latin-1")
+                trace = held.query.trace_id.decode("latin-1")
                 log.debug(
                     "client closed the connection before its answer", extra={"query": number, "trace": trace}
                 )
-            held.query.over(held.dispatches, "left")
-            self.balancer.left(self.clock(), number)
-            self.settle()
+            held.query.on_finished(held.dispatches, "left")
+            self.balancer.client_left(self.clock(), number)
+            self.pull_decisions()
 
     def is_client_gone(self, number: int) -> bool:
         """Whether the client was seen to have left just before an attempt."""
         held = self.held.get(number)
         return held is not None and held.client_gone
 
-    def update_upstreams(self, *updates: tuple[Sequence[Entry], bool]) -> None:
+    def update_upstreams(self, *updates: tuple[Sequence[ListEntry], bool]) -> None:
         """Applies lists, or changes of one, in order, as pairs of entries and whether they are the whole
         list. No decision is pulled before the last of them is known."""
         for entries, whole in updates:
-            self.balancer.learn(self.clock(), entries, whole)
+            self.balancer.update_list(self.clock(), entries, whole)
         self.withdraw_disallowed()
-        self.settle()
+        self.pull_decisions()
 
     def withdraw_disallowed(self) -> None:
         """Withdraws dispatches that are still connecting to an upstream that may get no new query, so that
         they go elsewhere now and not only once the connection is up or the connect timeout has passed."""
-        for out in [out for out in self.out.values() if not out.connected and out.task is not None]:
+        for out in [out for out in self.pending.values() if not out.connected and out.task is not None]:
             if out.address is not None and not self.dispatcher.may_send(out.upstream, out.address):
                 self.withdraw(out, Ending.WITHDRAWN)
 
     def update_settings(self, terms: Mapping[str, Any]) -> None:
-        """`terms` are the keyword arguments of `Balancer.renew`."""
-        self.balancer.renew(self.clock(), **terms)
-        self.settle()
+        """`terms` are the keyword arguments of `Balancer.reconfigure`."""
+        self.balancer.reconfigure(self.clock(), **terms)
+        self.pull_decisions()
 
-    def list_failed(self, left: int | None = None) -> None:
-        """The subscription to the list failed; `left`: nanoseconds until what is missed counts as told."""
-        self.balancer.list_failed(self.clock(), *(() if left is None else (left,)))
-        self.settle()
+    def on_list_failed(self, remaining_ns: int | None = None) -> None:
+        """The subscription to the list failed; `remaining_ns` is left until what is missed counts as told."""
+        self.balancer.list_failed(self.clock(), *(() if remaining_ns is None else (remaining_ns,)))
+        self.pull_decisions()
 
     def wake_balancer(self) -> None:
-        self.balancer.woken(self.clock())
-        self.settle()
+        self.balancer.timer_fired(self.clock())
+        self.pull_decisions()
 
     def dispatch_ended(self, out: PendingDispatch, result: DispatchResult) -> None:
         """Handles the end of a dispatch unless it was withdrawn before. The first whole answer ends the
         query."""
-        if self.out.pop((out.query_number, out.shot), None) is None:
+        if self.pending.pop((out.query_number, out.shot), None) is None:
             return
         self.unreported.append((out, result))
-        self.settle()
+        self.pull_decisions()
 
     # -- decisions
 
-    def settle(self) -> None:
+    def pull_decisions(self) -> None:
         """Reports results and executes decisions until there are none left. A result that arises while a
         decision is executed is reported after the pull, not inside it."""
-        if self.settling:
+        if self.pulling_decisions:
             return
-        self.settling = True
+        self.pulling_decisions = True
         try:
             while True:
                 while self.unreported:
                     self.report_result(*self.unreported.popleft())
                 now = self.clock()
-                while (decision := self.balancer.decide(now)) is not None:
+                while (decision := self.balancer.next_decision(now)) is not None:
                     self.execute(now, decision)
                 if not self.unreported:
                     return
         finally:
-            self.settling = False
+            self.pulling_decisions = False
 
     def report_result(self, out: PendingDispatch, result: DispatchResult) -> None:
         ending, answer = result
         self.counts[ending.name.lower()] += 1
         if self.is_client_gone(out.query_number):
             self.drop_query(out.query_number)
-        outcome, now = OUTCOMES[ending], self.clock()
+        outcome, now = OUTCOME_BY_ENDING[ending], self.clock()
         if log.isEnabledFor(logging.DEBUG):
             log.debug("dispatch ended", extra={
                 "query": out.query_number, "trace": out.trace, "shot": out.shot,
@@ -176,8 +178,8 @@
                 "report": answer.report if answer is not None else None,
             })  # fmt: skip
         if outcome == DONE and answer is not None:
-            self.answer_query(out.query_number, "done", done(answer))
-        self.balancer.outcome(
+            self.answer_query(out.query_number, "done", done_response(answer))
+        self.balancer.dispatch_ended(
             now, out.query_number, out.upstream, out.shot, now - out.sent_at, outcome,
             out.query_number not in self.held, answer.report if answer is not None else None,
         )  # fmt: skip
@@ -187,15 +189,15 @@
             case ("dispatch", int(number), int(upstream), int(limit)):
                 self.start_dispatch(now, number, upstream, limit)
             case ("wake", int(after)):
-                self.loop.at(now + after, self.wake_balancer)
+                self.loop.call_at(now + after, self.wake_balancer)
             case ("bounce", int(number), int(after)):
-                self.answer_query(number, "bounced", bounced(after, self.whole))
+                self.answer_query(number, "bounced", bounced_response(after, self.retry_after_whole_seconds))
             case ("abort", int(number)):
-                self.answer_query(number, "aborted", aborted())
+                self.answer_query(number, "aborted", aborted_response())
             case ("cancel", int(number), int(shot)):
                 self.cancel_dispatch(number, shot)
             case ("probe", int(upstream)):
-                self.loop.spawn(self.run_probe(now, upstream), SOON)
+                self.loop.spawn(self.run_probe(now, upstream), RANK_SOON)
             case ("follow",):
                 self.follow_list()
             case ("note", str(text)):
@@ -209,11 +211,11 @@
         """`limit`: nanoseconds after which the dispatch has timed out."""
         held = self.held[number]
         out = PendingDispatch(
-            number, held.dispatches, upstream, now, trace=held.query.trace.decode("latin-1")
+            number, held.dispatches, upstream, now, trace=held.query.trace_id.decode("latin-1")
         )
         held.dispatches += 1
-        self.out[number, out.shot] = out
-        task = self.loop.spawn(self.run_dispatch(held.query, out, now + limit), SOON)
+        self.pending[number, out.shot] = out
+        task = self.loop.spawn(self.run_dispatch(held.query, out, now + limit), RANK_SOON)
         out.task = task
 
     def run_dispatch(self, query: Query, out: PendingDispatch, deadline: int) -> Coroutine:
@@ -229,7 +231,7 @@
     ) -> Generator[Wait, int, DispatchResult]:
         out.address = address = self.upstreams.addresses.get(out.upstream)
 
-        def may_begin() -> bool:
+        def may_write() -> bool:
             # A connection may come up late: a repeat of a labelled query must not go out after its window.
             out.connected = True
             held = self.held.get(out.query_number)
@@ -238,17 +240,17 @@
                 held.client_gone = True
             if held is None or held.client_gone:
                 return False
-            return self.balancer.may_begin(self.clock(), out.query_number)
+            return self.balancer.may_write(self.clock(), out.query_number)
 
-        return (yield from self.dispatcher.send(query, out.upstream, address, deadline, may_begin))
+        return (yield from self.dispatcher.send(query, out.upstream, address, deadline, may_write))
 
     def run_probe(self, sent_at: int, upstream: int) -> Coroutine:
         """Sends a probe and reports its result from a timer, so that the balancer never gets the result of a
         decision inside the pull that made it."""
         result: DispatchResult = (Ending.FAULT, None)
         try:
-            if self.probe_by is not None:
-                query = self.probe_by(upstream)
+            if self.make_probe is not None:
+                query = self.make_probe(upstream)
                 address = self.upstreams.addresses.get(upstream)
                 deadline = sent_at + query.remaining
                 result = yield from self.dispatcher.send(query, upstream, address, deadline, lambda: True)
@@ -259,30 +261,32 @@
             ending, answer = result
             now = self.clock()
             healthy = ending == Ending.ANSWERED and answer is not None and answer.status == 200
-            self.balancer.probed(now, upstream, healthy, now - sent_at, answer.report if answer else None)
-            self.settle()
+            self.balancer.probe_ended(
+                now, upstream, healthy, now - sent_at, answer.report if answer else None
+            )
+            self.pull_decisions()
 
-        self.loop.at(self.clock(), report)
+        self.loop.call_at(self.clock(), report)
 
     def cancel_dispatch(self, number: int, shot: int) -> None:
-        if (out := self.out.get((number, shot))) is not None:
+        if (out := self.pending.get((number, shot))) is not None:
             self.withdraw(out, Ending.CLOSED_BY_US)
 
     def withdraw(self, out: PendingDispatch, ending: Ending) -> None:
         """Ends a dispatch; its connection is closed before anything else is sent for the query."""
-        del self.out[out.query_number, out.shot]
+        del self.pending[out.query_number, out.shot]
         if out.task is not None:
-            self.loop.end(out.task)
+            self.loop.close(out.task)
             self.unreported.append((out, (ending, None)))
 
-    def answer_query(self, number: int, how: str, reply: Reply) -> None:
+    def answer_query(self, number: int, how: str, reply: ClientResponse) -> None:
         """Gives a query its final answer; `how` is done, bounced or aborted."""
         if (held := self.held.pop(number, None)) is not None:
             self.counts[how] += 1
             duration_ms = (self.clock() - held.taken_at) // MILLISECOND
-            self.times.record_value(max(1, duration_ms))
+            self.latencies_ms.record_value(max(1, duration_ms))
             if log.isEnabledFor(logging.DEBUG):
-                trace, dispatches = held.query.trace.decode("latin-1"), held.dispatches
+                trace, dispatches = held.query.trace_id.decode("latin-1"), held.dispatches
                 fields = {
                     "query": number,
                     "trace": trace,
@@ -291,5 +295,5 @@
                     "ms": duration_ms,
                 }
                 log.debug("query answered", extra=fields)
-            held.query.over(held.dispatches, how)
+            held.query.on_finished(held.dispatches, how)
             held.send_reply(reply)
--- a/maddercart/sidecar/discovery.py
+++ b/maddercart/sidecar/discovery.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from maddercart.http.watch import NoList, WatchFailed, WatchSide
+from maddercart.http.watch import InvalidListing, WatchError, WatchProtocol
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.messages.upstreams import Listing, read_listing
-from maddercart.net.loop import FIRST, Coroutine, Loop, Task, Wait
+from maddercart.messages.upstreams import Listing, decode_listing
+from maddercart.net.loop import RANK_FIRST, Coroutine, Loop, Task, Wait
 from maddercart.net.sockets import close, connect, read, write
 from maddercart.sidecar.upstreams import Upstreams
 
@@ -24,7 +24,7 @@
 # Longest silence of an open watch. Discovery sends an empty line every 2 s, and changes missed on a silent
 # watch count as told 6 s after its last line. This tolerates one missing line and a third of the next
 # interval, and leaves more than half of the 6 s for the calls that fetch what was missed.
-SILENCE = 2750 * MILLISECOND
+WATCH_SILENCE_TIMEOUT_NS = 2750 * MILLISECOND
 # How long a call may go without data: the initial value, and the limit as it doubles with each call until one
 # is answered. A service that handles calls in turn may take 2 s, and a call abandoned too early rejoins the
 # end of its queue. A call that hangs while discovery recovers, the longest retry pause and an answered call
@@ -44,7 +44,7 @@
         # Version of the last list received from this service. None: the whole list is requested first.
         self.version = version
         self.sock = sock
-        self.protocol = WatchSide(f"{address[0]}:{address[1]}")
+        self.protocol = WatchProtocol(f"{address[0]}:{address[1]}")
         self.task: Task | None = None
         self.last_received_at = 0  # on the watch; 0: nothing yet
         self.read_timeout = 0  # until the first list has arrived
@@ -61,7 +61,7 @@
         `on_listings` gets all listings of one read. `on_failure` gets the nanoseconds that remain until
         missed changes count as told, or None if there is no such time or it has passed.
         """
-        self.loop, self.clock, self.at, self.upstreams = loop, clock, address, upstreams
+        self.loop, self.clock, self.address, self.upstreams = loop, clock, address, upstreams
         self.on_listings, self.on_failure = on_listings, on_failure
         self.failures = 0  # connections that have failed since the last listing
         self.last_heard_at = clock()
@@ -82,41 +82,43 @@
         """
         if not self.following:
             self.following = True
-            self.loop.at(self.clock(), self.open_connection)
+            self.loop.call_at(self.clock(), self.open_connection)
 
     def open_connection(self) -> None:
         if not self.following or self.current is not None:
             return
         try:
             connection = WatchConnection(
-                self.loop.machine.tcp(), self.at, None if self.needs_whole_list else self.upstreams.version
+                self.loop.system_calls.tcp(),
+                self.address,
+                None if self.needs_whole_list else self.upstreams.version,
             )
         except Exception as error:
             self.handle_failure(None, error)
             return
         self.current = connection
-        connection.task = self.loop.spawn(self.run_connection(connection), FIRST)
+        connection.task = self.loop.spawn(self.run_connection(connection), RANK_FIRST)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def switch_service(self, address: tuple[str, int]) -> None:
         """Follows the service at another address from now on.
 
         Each service has its own list versions, so the whole list is requested. The known list stays in use
         until that has arrived.
         """
-        if address != self.at:
+        if address != self.address:
             log.info(
                 "discovery moves", extra={"to": f"{address[0]}:{address[1]}", "seq": self.upstreams.version}
             )
-            self.at = address
+            self.address = address
             self.require_list_by(self.clock() + SERVICE_MOVE_DEADLINE_NS)
-            self.begin_anew()
+            self.request_whole_list()
 
     def require_list_by(self, due_at: int) -> None:
         """Sets when the list is due, unless an earlier time that has not passed is set already."""
         if self.list_due_at is None or not self.clock() < self.list_due_at < due_at:
             self.list_due_at = due_at
 
-    def begin_anew(self) -> None:
+    def request_whole_list(self) -> None:
         """Requests the whole list: changes alone don't cover what was skipped, or zones and kinds renumbered.
 
         An open watch goes on until the list has arrived: a drain told on it meanwhile counts too.
@@ -138,10 +140,10 @@
         self.current = self.previous = None
         self.following = False
 
-    def news(self) -> bool:
+    def has_unread_updates(self) -> bool:
         """Whether a connection has unread data, has ended or has failed."""
         for connection in (self.current, self.previous):
-            if connection is not None and connection.sock.fileno() >= 0 and connection.protocol.asked:
+            if connection is not None and connection.sock.fileno() >= 0 and connection.protocol.request_sent:
                 try:
                     connection.sock.recv(1, socket.MSG_PEEK)
                 except BlockingIOError:
@@ -155,7 +157,7 @@
 
     def close_connection(self, connection: WatchConnection) -> None:
         if connection.task is not None:
-            self.loop.end(connection.task)
+            self.loop.close(connection.task)
 
     def run_connection(self, connection: WatchConnection) -> Coroutine:
         """Runs the watch and reports its end, whatever the error: without the report nothing would retry."""
@@ -171,7 +173,7 @@
 
     def handle_failure(self, connection: WatchConnection | None, failure: Exception) -> None:
         """`connection`: None if its socket could not be created."""
-        if isinstance(failure, WatchFailed | OSError):
+        if isinstance(failure, WatchError | OSError):
             name = "previous watch" if self.is_previous(connection) else "watch"
             fields = {"reason": str(failure), "seq": self.upstreams.version, "unheard_ms": self.unheard_ms()}
             log.warning(f"{name} of the upstream list ended", extra=fields)
@@ -180,7 +182,7 @@
         if self.is_previous(connection):
             self.previous = None
             return
-        if isinstance(failure, NoList):
+        if isinstance(failure, InvalidListing):
             self.needs_whole_list = True
         if connection is not None and connection.last_received_at:
             self.require_list_by(connection.last_received_at + MISSED_CHANGES_DEADLINE_NS)
@@ -202,23 +204,23 @@
         protocol, deadline = connection.protocol, self.clock() + connection.read_timeout
         self.answer_timeout = min(2 * self.answer_timeout, MAX_ANSWER_TIMEOUT_NS)  # reset by the next listing
         if not (yield from connect(self.loop, connection.sock, connection.address, deadline)):
-            raise WatchFailed("connecting to discovery timed out")
+            raise WatchError("connecting to discovery timed out")
         while connection.version is None:
             yield from self.send_request(connection, "/api/targets", deadline)
-            while not protocol.ended:
+            while not protocol.response_complete:
                 yield from self.receive(connection, deadline)
         yield from self.send_request(connection, f"/api/targets?watch=1&after={connection.version}", deadline)
-        while not protocol.ended:
+        while not protocol.response_complete:
             yield from self.receive(connection, deadline)
             connection.last_received_at = self.last_heard_at = self.clock()
-            deadline = connection.last_received_at + SILENCE
-        raise WatchFailed("discovery ended the watch")
+            deadline = connection.last_received_at + WATCH_SILENCE_TIMEOUT_NS
+        raise WatchError("discovery ended the watch")
 
     def send_request(
         self, connection: WatchConnection, target: str, deadline: int
     ) -> Generator[Wait, int, None]:
-        if not (yield from write(connection.sock, connection.protocol.request(target), deadline)):
-            raise WatchFailed("sending the request to discovery timed out")
+        if not (yield from write(connection.sock, connection.protocol.serialize_request(target), deadline)):
+            raise WatchError("sending the request to discovery timed out")
 
     def receive(self, connection: WatchConnection, deadline: int) -> Generator[Wait, int, None]:
         """Reads once and handles the values that became complete.
@@ -232,14 +234,16 @@
             )
         data = yield from read(connection.sock, deadline)
         if data is None:
-            raise WatchFailed(
+            raise WatchError(
                 "discovery sent nothing in time"
                 if not connection.value_started_at
                 else "a list was incomplete"
             )
         values = connection.protocol.feed(data)
         connection.value_started_at = (
-            (connection.value_started_at or self.clock()) if connection.protocol.part and not values else 0
+            (connection.value_started_at or self.clock())
+            if connection.protocol.value_started and not values
+            else 0
         )
         if values:
             self.handle_values(connection, values)
@@ -247,8 +251,8 @@
     def handle_values(self, connection: WatchConnection, values: Sequence[bytes]) -> None:
         """Applies all listings of one read in one step.
 
-        Raises `NoList` for a value that can't be read or whose version went back, once the listings before it
-        have been applied; the whole list is requested after that.
+        Raises `InvalidListing` for a value that can't be read or whose version went back, once the listings
+        before it have been applied; the whole list is requested after that.
         """
         listings: list[Listing] = []
         try:
@@ -260,13 +264,13 @@
 
     def parse_listing(self, connection: WatchConnection, value: bytes) -> Listing:
         try:
-            listing = read_listing(value)
+            listing = decode_listing(value)
         except msgspec.MsgspecError as error:
-            raise NoList(f"discovery sent an invalid list: {error}") from error
+            raise InvalidListing(f"discovery sent an invalid list: {error}") from error
         if not listing.whole and connection.version is None:
-            raise NoList("discovery sent changes in place of the whole list")
+            raise InvalidListing("discovery sent changes in place of the whole list")
         if not listing.whole and connection.version is not None and listing.seq < connection.version:
-            raise NoList(f"list version went back from {connection.version} to {listing.seq}")
+            raise InvalidListing(f"list version went back from {connection.version} to {listing.seq}")
         connection.version = listing.seq
         return listing
 
--- a/maddercart/sidecar/endings.py
+++ b/maddercart/sidecar/endings.py
@@ -3,7 +3,7 @@
 from enum import Enum, auto
 from typing import Final
 
-from maddercart.interface import CANCELLED, DONE, ERROR, FULL, MOOT, RESET, TIMED_OUT, UNREACHABLE
+from maddercart.interface import CANCELLED, DONE, FAILED, NOT_WRITTEN, REJECTED, RESET, TIMED_OUT, UNREACHABLE
 
 
 class Ending(Enum):
@@ -31,26 +31,26 @@
 
 
 # A query may have run unless it is known never to have run: see `Ending`. What was not tried (the first
-# three) is MOOT, which the balancer holds against no upstream. Nor does it hold a reused connection that
-# broke against the upstream: upstreams and the network between close those at any time, and an upstream
+# three) is NOT_WRITTEN, which the balancer holds against no upstream. Nor does it hold a reused connection
+# that broke against the upstream: upstreams and the network between close those at any time, and an upstream
 # that has died refuses a new connection.
-OUTCOMES: Final = {
-    Ending.NO_ADDRESS: MOOT,
-    Ending.NO_DESCRIPTOR: MOOT,
-    Ending.WITHDRAWN: MOOT,
+OUTCOME_BY_ENDING: Final = {
+    Ending.NO_ADDRESS: NOT_WRITTEN,
+    Ending.NO_DESCRIPTOR: NOT_WRITTEN,
+    Ending.WITHDRAWN: NOT_WRITTEN,
     Ending.REFUSED: UNREACHABLE,
     Ending.NEVER_CAME_UP: UNREACHABLE,
     Ending.BROKE_UNWRITTEN: UNREACHABLE,
     Ending.TIME_UP_UNWRITTEN: UNREACHABLE,
     Ending.BROKE_KEPT: CANCELLED,
     Ending.BROKE_WRITTEN: RESET,
-    Ending.MALFORMED: ERROR,
+    Ending.MALFORMED: FAILED,
     Ending.ANSWERED: DONE,
-    Ending.TURNED_AWAY: FULL,
-    Ending.FAILED: ERROR,
+    Ending.TURNED_AWAY: REJECTED,
+    Ending.FAILED: FAILED,
     Ending.TIME_UP: TIMED_OUT,
     Ending.CLOSED_BY_US: CANCELLED,
-    Ending.FAULT: ERROR,
+    Ending.FAULT: FAILED,
 }
 
 
--- a/maddercart/sidecar/logs.py
+++ b/maddercart/sidecar/logs.py
@@ -16,7 +16,7 @@
 STANDARD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
 
 
-class JsonLines(logging.Formatter):
+class JsonFormatter(logging.Formatter):
     """Formats a record as one JSON object: at, level, of, msg, then the keys of `extra`."""
 
     def format(self, record: logging.LogRecord) -> str:
@@ -30,7 +30,7 @@
 
 def formatter(form: str) -> logging.Formatter:
     if form == "json":
-        return JsonLines()
+        return JsonFormatter()
     return Logfmter(keys=["at", "level", "of"], mapping={"at": "asctime", "level": "levelname", "of": "name"})
 
 
--- a/maddercart/sidecar/peers.py
+++ b/maddercart/sidecar/peers.py
@@ -13,8 +13,17 @@
 from collections.abc import Callable, Mapping, Sequence
 from random import Random
 
-from maddercart.interface import DRAINING, GONE, READY, SECOND, Entry
-from maddercart.messages.words import ASK, MOST, Message, Word, key_of, read, tells, write
+from maddercart.interface import DRAINING, GONE, READY, SECOND, ListEntry
+from maddercart.messages.words import (
+    ASK,
+    MAX_DATAGRAM_BYTES,
+    Message,
+    UpstreamState,
+    decode,
+    encode,
+    encode_tells,
+    short_key,
+)
 from maddercart.net.loop import READ, Coroutine, Loop, Task, Wait
 from maddercart.net.sockets import close
 from maddercart.sidecar.start_times import StartTimes
@@ -49,7 +58,7 @@
         peer_addresses: Sequence[Address],
         tier_address: Address,
         upstreams: Upstreams,
-        on_entries: Callable[[list[Entry]], None],
+        on_entries: Callable[[list[ListEntry]], None],
         counts: Counter[str],
         seed: int,
     ) -> None:
@@ -65,7 +74,7 @@
         self.ever_told = self.discovery_live = False
         self.discovery_lost_at = 0  # when discovery last told the list or was lost; 0: neither
         self.sent_asks: dict[int, int] = {}  # by token: when it was sent
-        self.senders_by_record: dict[Word, set[Address]] = defaultdict(set)
+        self.senders_by_record: dict[UpstreamState, set[Address]] = defaultdict(set)
         self.answer_times: dict[Address, list[int]] = {}  # by asker: when its recent asks were answered
         self.logged_reasons: set[str] = set()  # reasons for which a datagram was dropped
         self.sock = sock
@@ -73,12 +82,12 @@
         self.task: Task = loop.spawn(self.receive())
 
     def close(self) -> None:
-        self.loop.end(self.task)
+        self.loop.close(self.task)
         close(self.loop, self.sock)
 
     # -- state of discovery
 
-    def follows(self, live: bool) -> None:
+    def set_discovery_live(self, live: bool) -> None:
         """`live`: True when discovery has told the list, False each time the watch or a call has failed."""
         if live or self.discovery_live:
             self.senders_by_record.clear()
@@ -106,7 +115,7 @@
             return
         token = self.random.getrandbits(64)
         self.sent_asks[token] = now
-        self.send(write(ASK, self.upstreams.version or 0, token), self.tier_address)
+        self.send(encode(ASK, self.upstreams.version or 0, token), self.tier_address)
 
     # -- datagrams
 
@@ -115,7 +124,7 @@
             yield Wait(self.sock.fileno(), READ)
             for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
-                    data, sender = self.sock.recvfrom(MOST + 1)
+                    data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 except OSError:  # no more datagrams, or an ICMP error for one that was sent
                     break
                 try:
@@ -134,7 +143,7 @@
         """Raises `ValueError` for an invalid datagram, an unknown sender, or an answer to no recent ask."""
         if sender not in self.peer_addresses:
             raise ValueError("sender is not a known peer")
-        message, now = read(data), self.clock()
+        message, now = decode(data), self.clock()
         if message.kind == ASK:
             self.answer(message, sender, now)
         elif self.accepts_reports(now):
@@ -158,16 +167,16 @@
             return
         self.answer_times[sender] = [*recent, now]
         records = [
-            Word(key_of(number), condition, stamp_ms)
+            UpstreamState(short_key(number), condition, stamp_ms)
             for number, condition, stamp_ms in self.upstreams.changed_after(message.version)
         ]
-        for data in tells(self.upstreams.version or 0, message.token, records):
+        for data in encode_tells(self.upstreams.version or 0, message.token, records):
             self.send(data, sender)
 
     def handle_report(self, message: Message, sender: Address) -> None:
         """Applies the records that enough peers now agree on. Raises `ValueError` for unknown conditions."""
         agreed = []
-        for record in message.words:
+        for record in message.states:
             if record.condition not in (GONE, READY, DRAINING):
                 raise ValueError("unknown condition")
             self.senders_by_record[record].add(sender)
@@ -175,7 +184,7 @@
                 agreed.append(record)
         if agreed:
             self.counts["words_heard"] += len(agreed)
-            self.on_entries(entries_from_records(agreed, self.upstreams.entries, self.upstreams.starts))
+            self.on_entries(entries_from_records(agreed, self.upstreams.entries, self.upstreams.start_times))
 
     def send(self, data: bytes, address: Address) -> None:
         try:
@@ -185,20 +194,20 @@
 
 
 def entries_from_records(
-    records: Sequence[Word], known: Mapping[int, Entry], starts: StartTimes
-) -> list[Entry]:
+    records: Sequence[UpstreamState], known: Mapping[int, ListEntry], starts: StartTimes
+) -> list[ListEntry]:
     """Applies records to the known entries of their upstreams.
 
     Records of unknown upstreams are left out, since only discovery tells addresses, and so are those whose
     key stands for several. A READY record with an older start than the known one is out of date and left out.
     """
-    by_key: dict[int, list[Entry]] = defaultdict(list)
+    by_key: dict[int, list[ListEntry]] = defaultdict(list)
     for entry in known.values():
-        by_key[key_of(entry.upstream)].append(entry)
+        by_key[short_key(entry.upstream)].append(entry)
     updated = []
     for record in records:
         for entry in by_key[record.key] if len(by_key[record.key]) == 1 else ():
-            if record.condition != READY or record.stamp_ms >= starts.stamp_ms(entry.upstream):
-                launched = starts.start_of(entry.upstream, record.stamp_ms)
-                updated.append(entry._replace(condition=record.condition, launched=launched))
+            if record.condition != READY or record.start_ms >= starts.last_stamp_ms(entry.upstream):
+                launched = starts.start_of(entry.upstream, record.start_ms)
+                updated.append(entry._replace(condition=record.condition, started_at=launched))
     return updated
--- a/maddercart/sidecar/pool.py
+++ b/maddercart/sidecar/pool.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Container
 
-from maddercart.http.upstream import UpstreamSide
+from maddercart.http.upstream import ClientProtocol
 from maddercart.interface import SECOND
 from maddercart.net.loop import Coroutine, Loop, Wait
 from maddercart.net.sockets import close
@@ -17,7 +17,7 @@
 
     def __init__(self, upstream: int, address: Address, sock: socket.socket, max_body: int) -> None:
         self.upstream, self.address, self.sock = upstream, address, sock
-        self.protocol = UpstreamSide(max_body)
+        self.protocol = ClientProtocol(max_body)
         self.idle_since = 0
 
     def is_usable(self) -> bool:
@@ -43,10 +43,10 @@
     def __init__(self, loop: Loop, clock: Callable[[], int], ready: Container[int]) -> None:
         """`ready`: the upstreams that may get new queries; it may change later."""
         self.loop, self.clock = loop, clock
-        self.max_connections, self.idle_timeout, self.most_body = 1, 0, 0  # most_body: bytes of an answer
+        self.max_connections, self.idle_timeout, self.max_body_bytes = 1, 0, 0  # max_body_bytes: of an answer
         self.ready = ready
         self.idle: defaultdict[int, list[Connection]] = defaultdict(list)  # by upstream, last used at the end
-        self.count = 0  # active and idle
+        self.connection_count = 0  # active and idle
 
     def set_idle_close(self, idle_close: int) -> None:
         """`idle_close`: the time after which upstreams close an idle connection, in nanoseconds."""
@@ -56,7 +56,7 @@
         """A usable idle connection, the last used first, so that surplus ones age and are closed."""
         while idle := self.idle[upstream]:
             connection = idle.pop()
-            self.loop.rouse(connection.sock.fileno())
+            self.loop.remove_callback(connection.sock.fileno())
             if connection.address == address and connection.is_usable():
                 return connection
             self.close(connection)
@@ -64,23 +64,23 @@
 
     def open(self, upstream: int, address: Address) -> Connection | None:
         """A new connection that is not connected yet; None if the pool is full or no descriptor is left."""
-        if self.count >= self.max_connections:
+        if self.connection_count >= self.max_connections:
             self.close_oldest()
-        if self.count >= self.max_connections:
+        if self.connection_count >= self.max_connections:
             return None
         try:
-            sock = self.loop.machine.tcp()
+            sock = self.loop.system_calls.tcp()
         except OSError:
             return None
-        self.count += 1
-        return Connection(upstream, address, sock, self.most_body)
+        self.connection_count += 1
+        return Connection(upstream, address, sock, self.max_body_bytes)
 
     def put_back(self, connection: Connection) -> None:
         """Keeps a connection as idle, or closes it if its upstream gets no new queries."""
         if connection.upstream not in self.ready:
             return self.close(connection)
         try:
-            self.loop.rest(connection.sock.fileno(), lambda: self.close_idle(connection))
+            self.loop.call_when_readable(connection.sock.fileno(), lambda: self.close_idle(connection))
         except OSError:  # epoll can't register it
             return self.close(connection)
         self.idle[connection.upstream].append(connection)
@@ -93,19 +93,19 @@
 
     def close(self, connection: Connection) -> None:
         if connection.sock.fileno() >= 0:
-            self.count -= 1
+            self.connection_count -= 1
             close(self.loop, connection.sock)
 
-    def sweep(self) -> Coroutine:
+    def close_expired(self) -> Coroutine:
         """Closes connections that have been idle for longer than `idle_timeout`; runs until it is ended."""
         while True:
-            yield Wait(until=self.clock() + self.SWEEP_INTERVAL_NS)
+            yield Wait(deadline=self.clock() + self.SWEEP_INTERVAL_NS)
             oldest_kept = self.clock() - self.idle_timeout
             for idle in self.idle.values():
                 while idle and idle[0].idle_since <= oldest_kept:
                     self.close_idle(idle[0])
 
-    def drop_unwanted(self) -> None:
+    def close_unready(self) -> None:
         """Closes the idle connections of upstreams that get no new queries."""
         for upstream in [upstream for upstream in self.idle if upstream not in self.ready]:
             for connection in self.idle.pop(upstream):
--- a/maddercart/sidecar/signals.py
+++ b/maddercart/sidecar/signals.py
@@ -4,20 +4,20 @@
 import socket
 from collections.abc import Callable
 
-from maddercart.net.loop import FIRST, READ, Coroutine, Loop, Wait
-from maddercart.net.sockets import read_now
-from maddercart.net.startup import retry_lack
+from maddercart.net.loop import RANK_FIRST, READ, Coroutine, Loop, Wait
+from maddercart.net.sockets import read_available
+from maddercart.net.startup import retry_while_exhausted
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-def await_signals(loop: Loop, on_stop: Callable[[], None], on_reload: Callable[[], None]) -> None:
+def install_signal_handlers(loop: Loop, on_stop: Callable[[], None], on_reload: Callable[[], None]) -> None:
     """Installs the signal handlers and returns.
 
     `on_stop` is called for the first SIGTERM or SIGINT only. SIGHUPs that arrive together cause one call of
     `on_reload`.
     """
-    receiver, sender = retry_lack(socket.socketpair)
+    receiver, sender = retry_while_exhausted(socket.socketpair)
     receiver.setblocking(False)
     sender.setblocking(False)
     signal.set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
@@ -29,11 +29,11 @@
         stopping = False
         while sender.fileno() >= 0:
             yield Wait(receiver.fileno(), READ)
-            received = set(read_now(receiver) or b"")
+            received = set(read_available(receiver) or b"")
             if signal.SIGHUP in received:
                 on_reload()
             if not stopping and received.intersection(STOP_SIGNALS):
                 stopping = True
                 on_stop()
 
-    loop.spawn(dispatch_signals(), FIRST)
+    loop.spawn(dispatch_signals(), RANK_FIRST)
--- a/maddercart/sidecar/stopping.py
+++ b/maddercart/sidecar/stopping.py
@@ -7,7 +7,7 @@
 from maddercart.interface import MILLISECOND, SECOND
 from maddercart.net.loop import Coroutine, Loop, Wait
 from maddercart.net.sockets import BACKLOG
-from maddercart.sidecar.applications import Applications
+from maddercart.sidecar.applications import ApplicationServer
 
 log = logging.getLogger(__name__)
 
@@ -21,8 +21,8 @@
 BACKLOG_TIMEOUT_NS = SECOND // 10  # for the connections left in the backlog while descriptors have run out
 
 
-def stop(
-    loop: Loop, clock: Callable[[], int], listener: socket.socket, applications: Applications,
+def shut_down(
+    loop: Loop, clock: Callable[[], int], listener: socket.socket, applications: ApplicationServer,
     longest_hard_stop: int, on_stopped: Callable[[], None],
 ) -> Coroutine:  # fmt: skip
     """Stops one listener: accepts for a while longer, answers what was taken, closes all connections and
@@ -32,32 +32,32 @@
     began = clock()
     deadline = began + ACCEPT_FOR_NS + longest_hard_stop + WRITE_MARGIN_NS
     applications.answer_deadline = deadline - LAST_ANSWER_MARGIN_NS
-    yield Wait(until=began + ACCEPT_FOR_NS)
-    if applications.acceptor is not None:
-        loop.end(applications.acceptor)
-    loop.forget(listener.fileno())
+    yield Wait(deadline=began + ACCEPT_FOR_NS)
+    if applications.accept_task is not None:
+        loop.close(applications.accept_task)
+    loop.unregister(listener.fileno())
     yield from accept_backlog(clock, listener, applications)
     listener.close()  # right after the last accept: connections that arrive in between are reset
     while applications.connections and clock() < deadline:
         applications.close_idle()
-        yield Wait(until=clock() + POLL_INTERVAL_NS)
+        yield Wait(deadline=clock() + POLL_INTERVAL_NS)
     if applications.connections:
         log.warning("connections still open at exit", extra=applications.phase_counts())
     on_stopped()
 
 
 def accept_backlog(
-    clock: Callable[[], int], listener: socket.socket, applications: Applications
+    clock: Callable[[], int], listener: socket.socket, applications: ApplicationServer
 ) -> Coroutine:
     """Accepts the connections in the listener's backlog. They may already hold queries, which would be lost
     with the listener."""
     deadline = clock() + BACKLOG_TIMEOUT_NS
     while True:
         try:
-            if applications.accept_some(listener, BACKLOG) or clock() >= deadline:
+            if applications.accept_batch(listener, BACKLOG) or clock() >= deadline:
                 return
         except OSError as error:
             log.warning("connections can't be accepted", extra={"reason": str(error)})
             if clock() >= deadline:
                 return
-        yield Wait(until=clock() + POLL_INTERVAL_NS)
+        yield Wait(deadline=clock() + POLL_INTERVAL_NS)
--- a/maddercart/sidecar/upstreams.py
+++ b/maddercart/sidecar/upstreams.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from maddercart.interface import DRAINING, GONE, READY, Entry
-from maddercart.messages.upstreams import Host, Listing, read_host
-from maddercart.net.sockets import address
-from maddercart.sidecar.start_times import LONG_AGO, StartTimes, reference, whole_stamp
+from maddercart.interface import DRAINING, GONE, READY, ListEntry
+from maddercart.messages.upstreams import Host, Listing, decode_host
+from maddercart.net.sockets import parse_address
+from maddercart.sidecar.start_times import LONG_AGO_STAMP_MS, StartTimes, clamp_stamp_ms, reference_stamp_ms
 
 log = logging.getLogger(__name__)
 
@@ -20,21 +20,21 @@
 CONDITIONS = {"SERVING": READY, "DRAINING": DRAINING, "DELETED": GONE}  # by the list's health
 
 
-def number_of(host: str) -> int:
+def upstream_number(host: str) -> int:
     """The number of an upstream, from its name. It is the same in every sidecar: subsets and the ring for
     cold upstreams depend on it. 64 bits make collisions within a fleet improbable."""
     return int.from_bytes(blake2b(host.encode(), digest_size=8).digest(), "big")
 
 
 def start_stamp_ms(line: object) -> int:
-    """The start time of a line of the list, `LONG_AGO` if it has none that can be read."""
+    """The start time of a line of the list, `LONG_AGO_STAMP_MS` if it has none that can be read."""
     stamp = line.get("born_ms") if isinstance(line, dict) else None
-    return whole_stamp(stamp) if isinstance(stamp, int | float) else LONG_AGO
+    return clamp_stamp_ms(stamp) if isinstance(stamp, int | float) else LONG_AGO_STAMP_MS
 
 
 class Upstreams:
     def __init__(self, clock: Callable[[], int], zones: Sequence[str], kinds: Sequence[str]) -> None:
-        self.starts = StartTimes(clock)
+        self.start_times = StartTimes(clock)
         self.listing_count = 0  # listings applied so far
         self.zones: dict[str, int] = {}  # number by name
         self.kinds: dict[str, int] = {}  # number by name
@@ -44,7 +44,8 @@
         self.ready: set[int] = set()
         self.closed_by_peers: set[int] = set()  # on the word of other sidecars, until the next listing
         self.version: int | None = None  # None: the whole list must be asked for
-        self.entries: dict[int, Entry] = {}  # the last one of each upstream, those that have left included
+        # the last one of each upstream, those that have left included
+        self.entries: dict[int, ListEntry] = {}
         # The version in which each upstream last changed; the latest change is at the end.
         self.change_versions: dict[int, int] = {}
         self.logged_reasons: set[str] = set()
@@ -62,7 +63,7 @@
             [*(self.kinds.get(name, unknown) for name in former_kinds), unknown],
         )
 
-    def learn(self, listing: Listing) -> list[Entry]:
+    def apply_listing(self, listing: Listing) -> list[ListEntry]:
         """Applies a listing and returns the entries of its readable lines. Each reason why a line can't be
         read is logged once; the upstream of such a line is closed if the line names it."""
         self.version = listing.seq
@@ -74,7 +75,9 @@
         # A change tells what has just happened; a whole list and the first two listings also hold older
         # starts.
         has_old_starts = listing.whole or self.listing_count <= 1
-        reference_ms = reference(map(start_stamp_ms, listing.hosts)) if has_old_starts else LONG_AGO
+        reference_ms = (
+            reference_stamp_ms(map(start_stamp_ms, listing.hosts)) if has_old_starts else LONG_AGO_STAMP_MS
+        )
         self.listing_count += 1
         entries = [
             entry for line in listing.hosts if (entry := self.read_line(line, reference_ms)) is not None
@@ -82,7 +85,7 @@
         self.record_changes(listing, entries)
         return entries
 
-    def hear(self, entries: Sequence[Entry]) -> None:
+    def apply_peer_entries(self, entries: Sequence[ListEntry]) -> None:
         """Applies entries of other sidecars: they close upstreams that discovery has left open, and reopen
         those that were closed this way."""
         for entry in entries:
@@ -96,7 +99,7 @@
         is_open = upstream in self.ready and upstream not in self.closed_by_peers
         return is_open and self.addresses.get(upstream) == address
 
-    def record_changes(self, listing: Listing, entries: Sequence[Entry]) -> None:
+    def record_changes(self, listing: Listing, entries: Sequence[ListEntry]) -> None:
         """Records which entries changed in this version, for `changed_after`."""
         listed = {entry.upstream for entry in entries}
         left = [e for e in self.entries.values() if e.upstream not in listed] if listing.whole else []
@@ -114,18 +117,21 @@
                 and len(self.change_versions) > len(self.addresses) + MAX_GONE_KEPT // 2
             ):
                 del self.change_versions[number], self.entries[number]
-                self.starts.forget(number)
+                self.start_times.forget(number)
 
     def changed_after(self, version: int) -> list[tuple[int, int, int]]:
         """The upstreams that changed after a version: number, condition, the list's start stamp in ms."""
         changed = [self.entries[number] for number, then in self.change_versions.items() if then > version]
-        return [(entry.upstream, entry.condition, self.starts.stamp_ms(entry.upstream)) for entry in changed]
+        return [
+            (entry.upstream, entry.condition, self.start_times.last_stamp_ms(entry.upstream))
+            for entry in changed
+        ]
 
-    def read_line(self, line: object, reference_ms: int) -> Entry | None:
+    def read_line(self, line: object, reference_ms: int) -> ListEntry | None:
         """The entry for a line of a listing, None if the line can't be read and names no known upstream.
         `reference_ms`: a time by the list's clock that has passed."""
         try:
-            host = read_host(line)
+            host = decode_host(line)
             return self.make_entry(host, reference_ms)
         except (msgspec.ValidationError, ValueError, KeyError) as error:
             reason = str(error)
@@ -135,29 +141,29 @@
                 log.warning("list entry skipped", extra={"reason": reason})
             return self.close_unreadable(line)
 
-    def close_unreadable(self, line: object) -> Entry | None:
+    def close_unreadable(self, line: object) -> ListEntry | None:
         """Closes the upstream of a line that can't be read: the change must not leave it as it was. It gets
         no new queries until one of its lines can be read."""
         host = line.get("host") if isinstance(line, dict) else None
-        number = number_of(host) if isinstance(host, str) else 0
+        number = upstream_number(host) if isinstance(host, str) else 0
         if (known := self.entries.get(number)) is None:
             return None
         self.ready.discard(number)
         return known._replace(condition=DRAINING)
 
-    def make_entry(self, host: Host, reference_ms: int) -> Entry:
+    def make_entry(self, host: Host, reference_ms: int) -> ListEntry:
         """Raises `ValueError` for an unknown health or zone, or an address that isn't IPv4 and port."""
         if host.health not in CONDITIONS or host.site not in self.zones:
             raise ValueError(f"unknown state or zone: {host.health!r}, {host.site!r}")
-        number, condition = number_of(host.host), CONDITIONS[host.health]
+        number, condition = upstream_number(host.host), CONDITIONS[host.health]
         if condition == GONE:
             self.names.pop(number, None)
             self.addresses.pop(number, None)
         else:
-            ip, port = address(host.dial)
+            ip, port = parse_address(host.dial)
             ipaddress.IPv4Address(ip)  # a host name would need a lookup, which blocks
             self.names[number], self.addresses[number] = host.host, (ip, port)
         (self.ready.add if condition == READY else self.ready.discard)(number)
         kind = self.kinds.get(host.kind, len(self.kinds))
-        launched = self.starts.listed(number, whole_stamp(host.born_ms), reference_ms)
-        return Entry(number, self.zones[host.site], kind, host.block, condition, host.share, launched)
+        launched = self.start_times.record_stamp(number, clamp_stamp_ms(host.born_ms), reference_ms)
+        return ListEntry(number, self.zones[host.site], kind, host.block, condition, host.share, launched)
--- a/maddercart/translation.py
+++ b/maddercart/translation.py
@@ -59,9 +59,9 @@
     """An offering from its settings, whose names begin with `prefix`."""
     return i.Offering(
         effect=one_of(prefix + "semantics", EFFECTS, terms.semantics),
-        group=one_of(prefix + "group", DEDUPLICATION_SCOPES, terms.group),
-        window=nanos(prefix + "window", terms.window),
-        agreed=nanos(prefix + "agreed_time", terms.agreed_time),
+        deduplication_scope=one_of(prefix + "group", DEDUPLICATION_SCOPES, terms.group),
+        deduplication_window_ns=nanos(prefix + "window", terms.window),
+        agreed_time_ns=nanos(prefix + "agreed_time", terms.agreed_time),
         earnings=checked_number(prefix + "earnings", terms.earnings, "value"),
         late_earnings=checked_number(prefix + "tardy_earnings", terms.tardy_earnings, "value"),
         zones=numbers_of(prefix + "confined_to", terms.confined_to, settings.zones),
@@ -86,7 +86,7 @@
     grace = nanos("rules.stop_sending_within", rules.stop_sending_within)
     limit = grace if pushed else ask_within
     minimum = MIN_PUSHED_AGE_NS if pushed else MIN_ASKED_AGE_NS
-    return max(limit, minimum) if limit else i.Permits._field_defaults["stale"]
+    return max(limit, minimum) if limit else i.BalancerOptions._field_defaults["max_list_age_ns"]
 
 
 def balancer_arguments(settings: Settings) -> dict[str, Any]:
@@ -103,37 +103,40 @@
     nanos("limits.connect_timeout", limits.connect_timeout)
     come_back = nanos("limits.max_retry_after", limits.max_retry_after) if limits.retry_after else 0
     return {
-        "place": i.Place(
+        "place": i.SidecarPosition(
             number=settings.self_index,
-            sidecars=max(1, settings.group_size),
+            sidecar_count=max(1, settings.group_size),
             zone=settings.zone,
-            zones=zones,
+            zone_count=zones,
         ),
         "offerings": [
             read_offering(f"offerings.{n}.", terms, settings) for n, terms in enumerate(settings.offerings)
         ],
-        "cold": i.ColdRule(
-            start=checked_number("rules.cold_from", rules.cold_from, "share", maximum=1.0),
-            ramp=nanos("rules.ramp_time", rules.ramp_time),
-            multiple=checked_number("rules.fall_multiple", rules.fall_multiple, "multiple"),
-            window=nanos("rules.overload_for", rules.overload_for),
+        "cold": i.SlowStartRule(
+            start_share=checked_number("rules.cold_from", rules.cold_from, "share", maximum=1.0),
+            ramp_ns=nanos("rules.ramp_time", rules.ramp_time),
+            work_multiple=checked_number("rules.fall_multiple", rules.fall_multiple, "multiple"),
+            window_ns=nanos("rules.overload_for", rules.overload_for),
         ),
         "quotas": [
             checked_number(f"parties.{n}.quota_per_s", party.quota_per_s, "rate")
             for n, party in enumerate(settings.parties)
         ],
-        "permits": i.Permits(
-            dispatches=int(
+        "permits": i.BalancerOptions(
+            max_dispatches=int(
                 checked_number("limits.most_dispatches", limits.most_dispatches, "count", minimum=1)
             ),
-            cancel=limits.cancel,
-            probes=limits.probing,
-            come_back=come_back,
-            moving=one_of("weight_kind", WEIGHT_KINDS, settings.weight_kind) == WEIGHT_KINDS["live"],
-            streams=int(checked_number("limits.max_streams", limits.max_streams, "count", minimum=1)),
-            crossing=checked_number("charges.cross_zone", settings.charges.cross_zone, "price"),
-            follow=settings.discovery == "ask",
-            stale=max_list_age(settings),
-            drains=rules.removal_not_binding,
+            may_cancel=limits.cancel,
+            may_probe=limits.probing,
+            max_retry_delay_ns=come_back,
+            sizes_follow_load=one_of("weight_kind", WEIGHT_KINDS, settings.weight_kind)
+            == WEIGHT_KINDS["live"],
+            streams_per_connection=int(
+                checked_number("limits.max_streams", limits.max_streams, "count", minimum=1)
+            ),
+            cross_zone_cost=checked_number("charges.cross_zone", settings.charges.cross_zone, "price"),
+            subscribes=settings.discovery == "ask",
+            max_list_age_ns=max_list_age(settings),
+            only_draining_binds=rules.removal_not_binding,
         ),
     }
--- a/maddercart/wirehost/host.py
+++ b/maddercart/wirehost/host.py
@@ -3,7 +3,7 @@
 import gc
 from typing import BinaryIO
 
-from maddercart.interface import DONE, SECOND, Decision, Entry, Report
+from maddercart.interface import DONE, SECOND, Decision, ListEntry, Report
 from maddercart.policy.balancer import Balancer
 from maddercart.translation import balancer_arguments
 from maddercart.wirehost import frames
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
         self.report_orders: dict[int, tuple[int, ...]] = {}  # by instance, see `report_order`
-        self.inventories: dict[int, list[Entry]] = {}  # upstream lists by their number
+        self.inventories: dict[int, list[ListEntry]] = {}  # upstream lists by their number
         self.actions: list[bytes] = []
         self.tail = bytearray()  # texts that the actions of this reply refer to
 
@@ -65,7 +65,7 @@
                 )
             try:
                 self.handle_event(balancer, now, code, instance, body, offset)
-                while (decision := balancer.decide(now)) is not None:
+                while (decision := balancer.next_decision(now)) is not None:
                     self.write_action(instance, decision)
             except FrameError:
                 raise
@@ -88,23 +88,23 @@
                 frames.COMPLETED_BODY.unpack_from(body, offset)
             )
             report = self.make_report(instance, value_count, values) if value_count else None
-            balancer.outcome(
+            balancer.dispatch_ended(
                 now, query, upstream, number, round(duration * SECOND), outcome, ended != 0, report
             )
         elif code == frames.DEMAND:
             query, _, remaining, offering, marks, party, _ = frames.DEMAND_BODY.unpack_from(body, offset)
             repeated = marks & frames.REPEATED != 0
-            balancer.take(now, query, offering, round(remaining * SECOND), 0, party, repeated)
+            balancer.take_query(now, query, offering, round(remaining * SECOND), 0, party, repeated)
         elif code == frames.TIMEOUT_FIRED:
-            balancer.woken(now)
+            balancer.timer_fired(now)
         elif code == frames.HEALTH_RESULT:
             upstream, status, duration, value_count, *values = frames.HEALTH_RESULT_BODY.unpack_from(
                 body, offset
             )
             report = self.make_report(instance, value_count, values) if value_count else None
-            balancer.probed(now, upstream, status == DONE, round(duration * SECOND), report)
+            balancer.probe_ended(now, upstream, status == DONE, round(duration * SECOND), report)
         elif code == frames.VANISHED:
-            balancer.left(now, frames.VANISHED_BODY.unpack_from(body, offset)[0])
+            balancer.client_left(now, frames.VANISHED_BODY.unpack_from(body, offset)[0])
         elif code == frames.TOPOLOGY:
             kind, _, number = frames.TOPOLOGY_BODY.unpack_from(body, offset)
             if kind == 3:  # the subscription failed; otherwise 0: changes, else a full list
@@ -112,7 +112,7 @@
             elif number not in self.inventories:
                 raise FrameError(f"record {offset // frames.EVENT_SIZE}: inventory {number} was never sent")
             else:
-                balancer.learn(now, self.inventories[number], kind != 0)
+                balancer.update_list(now, self.inventories[number], kind != 0)
         elif code not in (frames.PEER, frames.FIRST):  # peer messages and client streams are ignored
             raise FrameError(f"record {offset // frames.EVENT_SIZE}: event code {code} is unknown")
 
@@ -130,7 +130,7 @@
         number, entries_offset, count = frames.INVENTORY_BODY.unpack_from(body, offset)
         entries = self.tail_slice(body, tail_offset + entries_offset, count * frames.ENTRY.size)
         self.inventories[number] = [
-            Entry(upstream, zone, kind, cell, condition, size, round(launched * SECOND))
+            ListEntry(upstream, zone, kind, cell, condition, size, round(launched * SECOND))
             for upstream, zone, kind, cell, condition, size, launched in frames.ENTRY.iter_unpack(entries)
         ]
 
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from maddercart.interface import MOOT
+from maddercart.interface import NOT_WRITTEN
 from maddercart.net import sockets
 from maddercart.net.loop import READ, Coroutine, Loop, Wait
-from maddercart.net.startup import retry_lack
-from maddercart.sidecar.clock import Clock
-from maddercart.sidecar.endings import OUTCOMES, Ending
-from tests.helpers import Desk, answer
+from maddercart.net.startup import retry_while_exhausted
+from maddercart.sidecar.clock import MonotonicClock
+from maddercart.sidecar.endings import OUTCOME_BY_ENDING, Ending
+from tests.helpers import SidecarHarness, http_response
 
 
 class FailingListener:
@@ -28,7 +28,7 @@
         return self.listener.accept()
 
 
-@pytest.mark.parametrize("number", sorted(sockets.ACCEPTED_GONE))
+@pytest.mark.parametrize("number", sorted(sockets.ACCEPT_RETRYABLE_ERRNOS))
 def test_accept_skips_connections_that_are_gone(number: int) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = socket.create_connection(listener.getsockname())
@@ -43,8 +43,8 @@
     number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """After three connects that failed for lack of a local port, the upstream was ejected."""
-    with Desk() as harness:
-        opened = harness.node.loop.machine.tcp
+    with SidecarHarness() as harness:
+        opened = harness.node.loop.system_calls.tcp
 
         def tcp() -> socket.socket:
             sock = opened()
@@ -58,11 +58,14 @@
         def failing_tcp() -> socket.socket:
             return SocketWithoutConnect(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
-        monkeypatch.setattr(harness.node.loop.machine, "tcp", failing_tcp)
+        monkeypatch.setattr(harness.node.loop.system_calls, "tcp", failing_tcp)
         for _ in range(4):
-            assert harness.reply(harness.ask()) == 503
-        assert harness.node.decisions.counts["no_descriptor"] == 4
-        assert OUTCOMES[Ending.NO_DESCRIPTOR] == MOOT and not harness.node.decisions.balancer.health.ejected
+            assert harness.response_status(harness.send_request()) == 503
+        assert harness.node.driver.counts["no_descriptor"] == 4
+        assert (
+            OUTCOME_BY_ENDING[Ending.NO_DESCRIPTOR] == NOT_WRITTEN
+            and not harness.node.driver.balancer.health.ejected
+        )
 
 
 def test_a_connect_interrupted_by_a_signal_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -73,24 +76,24 @@
             super().connect_ex(address)
             return errno.EINTR
 
-    with Desk() as harness:
+    with SidecarHarness() as harness:
 
         def interrupted_tcp() -> socket.socket:
             return InterruptedSocket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
-        monkeypatch.setattr(harness.node.loop.machine, "tcp", interrupted_tcp)
-        client = harness.ask()
+        monkeypatch.setattr(harness.node.loop.system_calls, "tcp", interrupted_tcp)
+        client = harness.send_request()
         upstream = harness.accept()
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200
 
 
 def test_enospc_of_epoll_ends_one_connection_and_not_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
     """ENOSPC was raised out of the loop's turn and ended the process."""
-    loop, errors = Loop(Clock()), []
+    loop, errors = Loop(MonotonicClock()), []
     first, second = socket.socketpair()
-    watch = loop.watch
+    watch = loop.set_events
 
     def failing_watch(fd: int, events: int) -> None:
         if fd == second.fileno():
@@ -104,10 +107,10 @@
         except OSError as error:
             errors.append(error.errno)
 
-    monkeypatch.setattr(loop, "watch", failing_watch)
+    monkeypatch.setattr(loop, "set_events", failing_watch)
     loop.spawn(read_from_both())
     second.send(b"x")
-    loop.turn()
+    loop.run_once()
     assert errors == [errno.ENOSPC]
     for sock in (first, second):
         sock.close()
@@ -122,22 +125,24 @@
             raise OSError(errors.pop(), "for a moment")
         return "made"
 
-    assert retry_lack(make) == "made"
+    assert retry_while_exhausted(make) == "made"
     with pytest.raises(OSError):
-        retry_lack(lambda: socket.socket(socket.AF_INET, socket.SOCK_RAW, 255) and os.open("/nowhere", 0))
+        retry_while_exhausted(
+            lambda: socket.socket(socket.AF_INET, socket.SOCK_RAW, 255) and os.open("/nowhere", 0)
+        )
 
 
 def test_a_reload_that_temporarily_cannot_read_the_configuration_is_retried() -> None:
     """The file may name another discovery service; the previous one closes, and drains were missed."""
-    with Desk() as harness:
-        read_configuration, errors = harness.node.again, [OSError(errno.EIO, "input/output error")] * 3
+    with SidecarHarness() as harness:
+        read_configuration, errors = harness.node.read_config, [OSError(errno.EIO, "input/output error")] * 3
 
         def failing_read() -> Any:
             if errors:
                 raise errors.pop()
             return read_configuration()
 
-        harness.node.again = failing_read
+        harness.node.read_config = failing_read
         harness.config |= {"discovery": "127.0.0.1:2"}
-        harness.node.renew()
-        harness.turn(lambda: harness.node.discovery.at == ("127.0.0.1", 2))
+        harness.node.reload()
+        harness.run_until(lambda: harness.node.discovery.address == ("127.0.0.1", 2))
--- a/tests/gateway/test_parts.py
+++ b/tests/gateway/test_parts.py
@@ -20,7 +20,7 @@
 from maddercart.gateway.routes import RouteLookup, RouteRule, RouteTable, path_segments
 from maddercart.gateway.targets import BadTarget, parse_target
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.sidecar.logs import JsonLines
+from maddercart.sidecar.logs import JsonFormatter
 
 # -- request targets
 
@@ -400,5 +400,5 @@
 
     record = logging.LogRecord("of", logging.INFO, "", 0, "took %d", (3,), None)
     record.pool, record.odd = "p", {1, 2}.__class__
-    fields = json.loads(JsonLines().format(record))
+    fields = json.loads(JsonFormatter().format(record))
     assert (fields["msg"], fields["pool"], fields["level"], fields["of"]) == ("took 3", "p", "INFO", "of")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,60 +12,67 @@
 
 from maddercart import interface as i
 from maddercart.policy.balancer import Balancer
-from maddercart.sidecar.configuration import usable
-from maddercart.sidecar.node import Node
+from maddercart.sidecar.configuration import parse_configuration
+from maddercart.sidecar.node import SidecarNode
 
 MS = i.MILLISECOND
 TRACE_NUMBERS = count(1000)  # gives each request its own trace id
 
 
-def offering(effect: int = i.REDOABLE, group: int = i.EVERYWHERE, **more: Any) -> i.Offering:
-    fields = {"window": i.SECOND, "agreed": 400 * MS, "earnings": 1.0, "late_earnings": 0.0} | more
-    return i.Offering(effect, group, **fields)
+def offering(effect: int = i.REDOABLE, deduplication_scope: int = i.EVERYWHERE, **more: Any) -> i.Offering:
+    fields = {
+        "deduplication_window_ns": i.SECOND,
+        "agreed_time_ns": 400 * MS,
+        "earnings": 1.0,
+        "late_earnings": 0.0,
+    } | more
+    return i.Offering(effect, deduplication_scope, **fields)
 
 
-def entry(upstream: int, zone: int = 0, condition: int = i.READY, launched: int = 0) -> i.Entry:
-    return i.Entry(upstream, zone, 0, zone * 10 + upstream % 2, condition, 1.0, launched)
+def entry(upstream: int, zone: int = 0, condition: int = i.READY, started_at: int = 0) -> i.ListEntry:
+    return i.ListEntry(upstream, zone, 0, zone * 10 + upstream % 2, condition, 1.0, started_at)
 
 
-def permits(**more: Any) -> i.Permits:
-    defaults = {"dispatches": 3, "cancel": True, "probes": False, "come_back": i.SECOND}
-    return i.Permits(**(defaults | {"follow": True} | more))
+def permits(**more: Any) -> i.BalancerOptions:
+    defaults = {"max_dispatches": 3, "may_cancel": True, "may_probe": False, "max_retry_delay_ns": i.SECOND}
+    return i.BalancerOptions(**(defaults | {"subscribes": True} | more))
 
 
-COLD = i.ColdRule(start=0.2, ramp=10 * i.SECOND, multiple=3.0, window=i.SECOND)
+COLD_RULE = i.SlowStartRule(start_share=0.2, ramp_ns=10 * i.SECOND, work_multiple=3.0, window_ns=i.SECOND)
 
 
-class Host:
+class BalancerHarness:
     """Drives one balancer by hand, with a clock that only the test advances.
 
     It makes the calls, pulls the decisions that follow, and keeps track of the dispatches that are out.
     """
 
-    def __init__(self, entries: list[i.Entry], zones: int = 2, seed: int = 1, sidecars: int = 3, **more: Any):
+    def __init__(
+        self, entries: list[i.ListEntry], zones: int = 2, seed: int = 1, sidecars: int = 3, **more: Any
+    ):
         self.now = 100 * i.SECOND
-        arguments = {"offerings": [offering()], "cold": COLD, "permits": permits()} | more
-        place = i.Place(number=seed % sidecars, sidecars=sidecars, zone=0, zones=zones)
+        arguments = {"offerings": [offering()], "cold": COLD_RULE, "permits": permits()} | more
+        place = i.SidecarPosition(number=seed % sidecars, sidecar_count=sidecars, zone=0, zone_count=zones)
         self.balancer = Balancer(self.now, seed, place=place, **arguments)
         self.random = Random(seed)
         self.queries = 0
-        self.shots: dict[int, int] = {}  # by query: the number of its last dispatch, from 0
+        self.dispatch_numbers: dict[int, int] = {}  # by query: the number of its last dispatch, from 0
         # By query and number of the dispatch: upstream, when it was sent, its time limit in nanoseconds.
-        self.out: dict[tuple[int, int], tuple[int, int, int]] = {}
+        self.outstanding: dict[tuple[int, int], tuple[int, int, int]] = {}
         self.probes: list[int] = []  # upstreams that are being probed
         self.wake_at = 1 << 62  # the instant of the requested wake-up; 1 << 62: none
-        self.balancer.learn(self.now, entries, True)
-        self.pull()
+        self.balancer.update_list(self.now, entries, True)
+        self.pull_decisions()
 
-    def pull(self) -> list[i.Decision]:
+    def pull_decisions(self) -> list[i.Decision]:
         """Takes all decisions that the balancer has made, and keeps track of what they start."""
         decisions = []
-        while (decision := self.balancer.decide(self.now)) is not None:
+        while (decision := self.balancer.next_decision(self.now)) is not None:
             decisions.append(decision)
             match decision:
                 case ("dispatch", int(query), int(upstream), int(limit)):
-                    shot = self.shots[query] = self.shots.get(query, -1) + 1
-                    self.out[query, shot] = (upstream, self.now, limit)
+                    shot = self.dispatch_numbers[query] = self.dispatch_numbers.get(query, -1) + 1
+                    self.outstanding[query, shot] = (upstream, self.now, limit)
                 case ("probe", int(upstream)):
                     self.probes.append(upstream)
                 case ("wake", int(after)):
@@ -74,28 +81,32 @@
 
     def take(self, kind: int = 0, remaining: int = i.SECOND) -> list[i.Decision]:
         self.queries += 1
-        self.balancer.take(self.now, self.queries, kind, remaining)
-        return self.pull()
+        self.balancer.take_query(self.now, self.queries, kind, remaining)
+        return self.pull_decisions()
 
-    def end(self, query: int, shot: int, outcome: int, ended: bool | None = None) -> list[i.Decision]:
+    def end_dispatch(
+        self, query: int, shot: int, outcome: int, ended: bool | None = None
+    ) -> list[i.Decision]:
         """Ends a dispatch; `ended` says whether its query ends too, None: only with the outcome DONE."""
-        upstream, sent, _ = self.out.pop((query, shot))
+        upstream, sent, _ = self.outstanding.pop((query, shot))
         query_ended = outcome == i.DONE if ended is None else ended
-        self.balancer.outcome(self.now, query, upstream, shot, self.now - sent, outcome, query_ended, None)
-        return self.pull()
+        self.balancer.dispatch_ended(
+            self.now, query, upstream, shot, self.now - sent, outcome, query_ended, None
+        )
+        return self.pull_decisions()
 
-    def probed(self, upstream: int, ok: bool) -> list[i.Decision]:
+    def end_probe(self, upstream: int, ok: bool) -> list[i.Decision]:
         self.probes.remove(upstream)
-        self.balancer.probed(self.now, upstream, ok, MS, None)
-        return self.pull()
+        self.balancer.probe_ended(self.now, upstream, ok, MS, None)
+        return self.pull_decisions()
 
-    def run(self, span: int) -> list[i.Decision]:
+    def advance(self, span: int) -> list[i.Decision]:
         """Advances the clock by `span` nanoseconds, and makes the wake-up calls that fall due."""
-        decisions, end = self.pull(), self.now + span
+        decisions, end = self.pull_decisions(), self.now + span
         while self.wake_at <= end:
             self.now, self.wake_at = max(self.now, self.wake_at), 1 << 62
-            self.balancer.woken(self.now)
-            decisions += self.pull()
+            self.balancer.timer_fired(self.now)
+            decisions += self.pull_decisions()
         self.now = end
         return decisions
 
@@ -103,13 +114,13 @@
 # -- the sidecar on sockets
 
 
-def host(name: str = "s-1", dial: str = "127.0.0.1:1", **more: Any) -> dict[str, Any]:
+def list_line(name: str = "s-1", dial: str = "127.0.0.1:1", **more: Any) -> dict[str, Any]:
     """A line of discovery's list."""
     fields = {"host": name, "dial": dial, "site": "a", "class": "m", "block": 0, "health": "SERVING"}
     return fields | {"share": 1.0, "born_ms": 0} | more
 
 
-def config(hosts: list[dict[str, Any]], **more: Any) -> bytes:
+def sidecar_config(hosts: list[dict[str, Any]], **more: Any) -> bytes:
     """JSON configuration with the offerings `look` (redoable), `post` (labelled), `once` (irreversible)."""
     terms = {"group": "zone", "agreed_time": 0.5, "hard_stop": 1.0, "window": 1.0}
     effects = (("look", "free"), ("post", "guarded"), ("once", "single_shot"))
@@ -130,10 +141,10 @@
 
 
 def request(
-    offering: str = "look", expires: str = "400m", body: str = "", more: str = "", trace: str = ""
+    offering: str = "look", expires: str = "400m", body: str = "", extra_headers: str = "", trace: str = ""
 ) -> bytes:
     trace = trace or f"t{next(TRACE_NUMBERS)}"
-    headers = f"X-Trace-Id: {trace}\r\nX-Qos: {offering}\r\nX-Expires-In: {expires}\r\n{more}"
+    headers = f"X-Trace-Id: {trace}\r\nX-Qos: {offering}\r\nX-Expires-In: {expires}\r\n{extra_headers}"
     if offering == "look":
         return f"GET /look?sid=7 HTTP/1.1\r\nHost: origin.svc\r\n{headers}\r\n".encode()
     body_headers = f"Idempotency-Key: k1\r\nContent-Length: {len(body)}\r\n"
@@ -142,61 +153,66 @@
     )
 
 
-def answer(status: int = 200, body: str = "well", more: str = "") -> bytes:
-    return f"HTTP/1.1 {status} x\r\n{more}Content-Length: {len(body)}\r\n\r\n{body}".encode()
+def http_response(status: int = 200, body: str = "well", extra_headers: str = "") -> bytes:
+    return f"HTTP/1.1 {status} x\r\n{extra_headers}Content-Length: {len(body)}\r\n\r\n{body}".encode()
 
 
-class Desk:
+class SidecarHarness:
     """A sidecar whose loop the test turns, with a listening socket for each upstream and for discovery."""
 
     def __init__(self, upstreams: int = 1, **more: Any) -> None:
-        self.ears = [socket.create_server(("127.0.0.1", 0)) for _ in range(upstreams)]
+        self.upstream_listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(upstreams)]
         self.discovery = socket.create_server(("127.0.0.1", 0))
-        self.dials = ["{}:{}".format(*ear.getsockname()) for ear in self.ears]
+        self.upstream_addresses = ["{}:{}".format(*ear.getsockname()) for ear in self.upstream_listeners]
         discovery_address = "{}:{}".format(*self.discovery.getsockname())
         zones = "ab" if upstreams > 2 else "aa"
-        hosts = [host(f"s-{n}", dial, site=zones[n % 2]) for n, dial in enumerate(self.dials)]
+        hosts = [
+            list_line(f"s-{n}", dial, site=zones[n % 2]) for n, dial in enumerate(self.upstream_addresses)
+        ]
         self.config = {"hosts": hosts, "discovery": discovery_address} | more
-        self.node = Node(usable(config(**self.config)), lambda: usable(config(**self.config)))
+        self.node = SidecarNode(
+            parse_configuration(sidecar_config(**self.config)),
+            lambda: parse_configuration(sidecar_config(**self.config)),
+        )
         self.node.start()
-        self.opened: list[socket.socket] = [*self.ears, self.discovery]
+        self.open_sockets: list[socket.socket] = [*self.upstream_listeners, self.discovery]
 
-    def __enter__(self) -> "Desk":
+    def __enter__(self) -> "SidecarHarness":
         return self
 
     def __exit__(self, *_: object) -> None:
-        for sock in [*self.opened, self.node.listener]:
+        for sock in [*self.open_sockets, self.node.listener]:
             sock.close()
-        for task in list(self.node.loop.waiting.values()):
-            self.node.loop.end(task)
+        for task in list(self.node.loop.waiting_tasks.values()):
+            self.node.loop.close(task)
         self.node.loop.epoll.close()
 
-    def turn(self, until: Callable[[], Any], within: float = 3.0) -> Any:
+    def run_until(self, until: Callable[[], Any], within: float = 3.0) -> Any:
         """Turns the loop until `until` returns a true value, and returns that; `within` is in seconds."""
         loop, end = self.node.loop, time.monotonic() + within
         while not (result := until()):
             assert time.monotonic() < end, "timed out waiting for the condition"
-            loop.at(loop.clock() + MS, lambda: None)
-            loop.turn()
+            loop.call_at(loop.clock() + MS, lambda: None)
+            loop.run_once()
         return result
 
-    def turn_for(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         end = time.monotonic() + seconds
-        self.turn(lambda: time.monotonic() >= end)
+        self.run_until(lambda: time.monotonic() >= end)
 
     def client(self) -> socket.socket:
         sock = socket.create_connection(self.node.listener.getsockname())
-        self.opened.append(sock)
+        self.open_sockets.append(sock)
         return sock
 
     def accept(self, upstream: int = 0) -> socket.socket:
-        return self.accept_from(self.ears[upstream])
+        return self.accept_from(self.upstream_listeners[upstream])
 
     def accept_from(self, listener: socket.socket) -> socket.socket:
         listener.setblocking(False)
-        self.turn(lambda: select.select([listener], [], [], 0)[0])
+        self.run_until(lambda: select.select([listener], [], [], 0)[0])
         sock, _ = listener.accept()
-        self.opened.append(sock)
+        self.open_sockets.append(sock)
         return sock
 
     def read(self, sock: socket.socket, until: bytes = b"\r\n\r\n") -> bytes:
@@ -214,14 +230,14 @@
             received.extend(chunk)
             return not chunk or until in received
 
-        self.turn(is_complete)
+        self.run_until(is_complete)
         return bytes(received)
 
-    def ask(self, offering: str = "look", **more: str) -> socket.socket:
+    def send_request(self, offering: str = "look", **more: str) -> socket.socket:
         client = self.client()
         client.sendall(request(offering, **more))
         return client
 
-    def reply(self, client: socket.socket) -> int:
+    def response_status(self, client: socket.socket) -> int:
         """The status code of the response to a client."""
         return int(self.read(client).split(b" ", 2)[1])
--- a/tests/lab/days.py
+++ b/tests/lab/days.py
@@ -2,27 +2,28 @@
 
 from typing import Any
 
-from maddercart.lab.scenario import Scenario, convert
+from maddercart.lab.scenario import Scenario, parse_scenario
 
-LOOK = {"name": "look"}
-POST = {"name": "post", "effect": "labelled", "group": "zone", "window": 1.0}
-ONCE = {"name": "once", "effect": "irreversible"}
+REDOABLE_OFFERING = {"name": "look"}
+LABELLED_OFFERING = {"name": "post", "effect": "labelled", "group": "zone", "window": 1.0}
+IRREVERSIBLE_OFFERING = {"name": "once", "effect": "irreversible"}
 
 
-def tree(**more: Any) -> dict[str, Any]:
+def scenario_tree(**more: Any) -> dict[str, Any]:
     """A scenario as a mapping: two zones of four 2-core servers, about 40% busy, for 12 s."""
     scenario: dict[str, Any] = {
         "title": "small", "about": "a test", "seconds": 12.0, "warmup": 1.0,
         "zones": [{"name": "a", "servers": 4, "sidecars": 6}, {"name": "b", "servers": 4, "sidecars": 6}],
         "kinds": [{"name": "machine", "cores": 2, "room": 40}],
-        "offerings": [LOOK, POST | {"share": 0.3}, ONCE | {"share": 0.2}],
+        "offerings": [REDOABLE_OFFERING, LABELLED_OFFERING | {"share": 0.3},
+                      IRREVERSIBLE_OFFERING | {"share": 0.2}],
         "flows": [{"rate": 300.0}],
     }  # fmt: skip
     return scenario | more
 
 
-def day(**more: Any) -> Scenario:
-    return convert(tree(**more), "test")
+def small_scenario(**more: Any) -> Scenario:
+    return parse_scenario(scenario_tree(**more), "test")
 
 
 def single_sidecar_queue(servers: int, cores: int, load: float, seconds: float) -> Scenario:
@@ -30,7 +31,7 @@
 
     `load` is the utilization of the cores; the mean work of a query is 10 ms.
     """
-    return convert(
+    return parse_scenario(
         {
             "title": "queue", "about": "theory", "seconds": seconds, "warmup": 0.0,
             "zones": [{"name": "a", "servers": servers, "sidecars": 1}],
--- a/tests/lab/test_runs.py
+++ b/tests/lab/test_runs.py
@@ -17,9 +17,9 @@
 from maddercart.lab import runs as simulations
 from maddercart.lab.experiment import Run, read_experiment
 from maddercart.lab.policies import POLICIES
-from maddercart.lab.scenario import ScenarioError, convert, find_contradictions, read, shipped
+from maddercart.lab.scenario import ScenarioError, find_contradictions, parse_scenario, read, shipped
 from maddercart.lab.world import World
-from tests.lab.days import day, tree
+from tests.lab.days import scenario_tree, small_scenario
 
 TROUBLES = [
     {"kind": "zone_lost", "zone": "a", "start": 3.0, "end": 6.0},
@@ -55,10 +55,10 @@
 
 def test_same_seed_gives_same_digest_in_other_processes_and_in_parallel(tmp_path: Path) -> None:
     """Guards against dependence on the process: set order, a shared random generator, or real time."""
-    scenario = day(
+    scenario = small_scenario(
         troubles=TROUBLES, clients={"retry": "honour"}, servers={"reports": True, "report_noise": 0.3}
     )
-    digest = World(scenario, 1).play().figures["digest"]
+    digest = World(scenario, 1).run().figures["digest"]
     runs = [Run("small", scenario, {"beside": n}, "module", seed) for n in range(3) for seed in (1, 2)]
     stored_runs = list(simulations.run_all(runs, tmp_path, 3))
     assert {run.figures["digest"] for run in stored_runs if run.figures["seed"] == 1} == {digest}
@@ -67,13 +67,15 @@
 
 def test_day_and_troubles_do_not_depend_on_the_policy() -> None:
     """Arrivals, work, luck and troubles belong to the day; random draws of a policy don't change them."""
-    scenario = day(troubles=[{"kind": "errors", "share": 0.5, "factor": 0.5, "start": 2.0}, *TROUBLES])
+    scenario = small_scenario(
+        troubles=[{"kind": "errors", "share": 0.5, "factor": 0.5, "start": 2.0}, *TROUBLES]
+    )
     worlds = [World(scenario, 3, policy) for policy in POLICIES]
     for world in worlds[:3]:
-        world.play()
-    assert len({world.day.digest() for world in worlds}) == 1
-    assert len({str(world.troubles.hit) for world in worlds}) == 1
-    assert World(scenario, 4).day.digest() != worlds[0].day.digest()
+        world.run()
+    assert len({world.workload.digest() for world in worlds}) == 1
+    assert len({str(world.troubles.affected) for world in worlds}) == 1
+    assert World(scenario, 4).workload.digest() != worlds[0].workload.digest()
 
 
 def write_experiment(folder: Path) -> Path:
@@ -117,7 +119,7 @@
     assert len(after) == 12 and before.items() <= after.items()
     table = pl.read_parquet(out / "rows.parquet")
     _, runs = read_experiment(str(experiment))
-    direct = World(runs[0].scenario, runs[0].seed, runs[0].policy).play().figures
+    direct = World(runs[0].scenario, runs[0].seed, runs[0].policy).run().figures
     assert table.filter(pl.col("id") == runs[0].id())["digest"].to_list() == [direct["digest"]]
 
 
@@ -131,11 +133,13 @@
     lines = pl.read_parquet(out / "time_lines.parquet")
     rows = pl.read_parquet(out / "rows.parquet")
     assert rows.height == 12 and lines["first"].sum() == sum(
-        len(World(run.scenario, run.seed, run.policy).day) for run in read_experiment(str(experiment))[1]
+        len(World(run.scenario, run.seed, run.policy).workload) for run in read_experiment(str(experiment))[1]
     )
     stored_runs = results.read_stored_runs(out)
     assert len(stored_runs) == 12
-    histogram = simulations.latency_histogram(World(convert(*read_small_scenario(tmp_path)), 1).play().took)
+    histogram = simulations.latency_histogram(
+        World(parse_scenario(*read_small_scenario(tmp_path)), 1).run().latencies_ns
+    )
     assert histogram.get_total_count() > 0
     exit_code, output = invoke_lab("compare", str(out), str(out), "--figure", "p99")
     assert exit_code == 0 and "0.000" in output
@@ -151,9 +155,9 @@
 
 
 def test_interval_is_students_t_and_pairing_cancels_the_spread_between_days() -> None:
-    measured = results.interval([1.0, 2.0, 3.0])
+    measured = results.confidence_interval([1.0, 2.0, 3.0])
     assert (measured.mean, round(measured.plus_minus, 3)) == (2.0, 2.484)
-    assert results.interval([5.0]).plus_minus == float("inf")
+    assert results.confidence_interval([5.0]).plus_minus == float("inf")
     first = pl.DataFrame(
         {"scenario": "s", "point": "", "policy": "module", "seed": [1, 2, 3], "share": [0.1, 0.5, 0.9]}
     )
@@ -166,7 +170,7 @@
 
 def test_failed_run_is_reported_and_not_loaded_as_finished(tmp_path: Path) -> None:
     """Guards against a failed run that counts as finished: the next sweep must repeat it."""
-    run = Run("small", day(), {}, "no such policy", 1)
+    run = Run("small", small_scenario(), {}, "no such policy", 1)
     stored_runs = list(simulations.run_all([run], tmp_path, 1))
     assert "no such policy" in stored_runs[0].failed and simulations.load_finished(tmp_path, run) is None
 
@@ -215,7 +219,7 @@
 )  # fmt: skip
 def test_invalid_scenario_error_names_file_and_key(more: dict, words: str, tmp_path: Path) -> None:
     with pytest.raises(ScenarioError) as caught:
-        convert(tree(**more), "day.toml")
+        parse_scenario(scenario_tree(**more), "day.toml")
     assert "day.toml" in str(caught.value) and words in str(caught.value)
 
 
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -12,7 +12,7 @@
 from maddercart import interface as i
 from maddercart.net.loop import Coroutine, Wait
 from maddercart.net.sockets import accept, read, write
-from tests.helpers import MS, Desk, answer, host, request
+from tests.helpers import MS, SidecarHarness, http_response, list_line, request
 
 GROUP_WINDOW_NS = i.SECOND
 TOLERANCE_NS = i.SECOND // 2  # for a machine that is busy with other tests
@@ -34,7 +34,7 @@
 class FaultyWorld:
     """Upstreams, clients and discovery around one sidecar; `violations` lists each rule that was broken."""
 
-    def __init__(self, harness: Desk, seed: int) -> None:
+    def __init__(self, harness: SidecarHarness, seed: int) -> None:
         self.harness, self.loop, self.random = harness, harness.node.loop, Random(seed)
         self.queries: dict[str, SentQuery] = {}  # by trace id
         self.draining_since: dict[int, int] = {}  # by upstream: when its drain was told
@@ -48,7 +48,7 @@
     # -- upstreams
 
     def upstream(self, number: int) -> Coroutine:
-        listener = self.harness.ears[number]
+        listener = self.harness.upstream_listeners[number]
         listener.setblocking(False)
         while True:
             yield Wait(listener.fileno(), 1)
@@ -56,7 +56,7 @@
                 if self.random.random() < 0.05:
                     sock.close()
                 else:
-                    self.harness.opened.append(sock)
+                    self.harness.open_sockets.append(sock)
                     self.loop.spawn(self.serve(number, sock))
 
     def serve(self, number: int, sock: socket.socket) -> Coroutine:
@@ -77,7 +77,7 @@
 
     def close(self, sock: socket.socket) -> None:
         if sock.fileno() >= 0:
-            self.loop.forget(sock.fileno())
+            self.loop.unregister(sock.fileno())
             sock.close()
 
     def handle(self, number: int, sock: socket.socket, head: str) -> Generator[Wait, int, bool]:
@@ -107,7 +107,7 @@
             [60, 8, 8, 4, 6, 4, 6, 4],
         )[0]
         if behaviour == "never_ran":
-            return not (yield from write(sock, answer(503, more="X-Never-Ran: 1\r\n"), None))
+            return not (yield from write(sock, http_response(503, extra_headers="X-Never-Ran: 1\r\n"), None))
         query.dispatches.append((zone, now))
         query.running += 1
         try:
@@ -122,7 +122,7 @@
         if behaviour == "ok":
             query.bodies.append(body)
         response = {
-            "ok": answer(body=body), "error": answer(500), "unmarked_503": answer(503),
+            "ok": http_response(body=body), "error": http_response(500), "unmarked_503": http_response(503),
             "malformed": b"what?\r\n\r\n",
             "truncated": b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf",
         }[behaviour]  # fmt: skip
@@ -144,7 +144,7 @@
             query = self.queries[trace] = SentQuery(offering, self.loop.clock() + remaining * MS)
             if self.random.random() < 0.2:  # in two parts
                 yield from write(sock, data[:50], None)
-                yield Wait(until=self.loop.clock() + MS)
+                yield Wait(deadline=self.loop.clock() + MS)
                 data = data[50:]
             yield from write(sock, data, None)
             query.hard_stop_at = self.loop.clock() + remaining * MS
@@ -156,7 +156,7 @@
                 return self.close(sock)
             query.ended = True
             self.check_response(trace, query, response)
-            yield Wait(until=self.loop.clock() + self.random.randrange(15) * MS)
+            yield Wait(deadline=self.loop.clock() + self.random.randrange(15) * MS)
         self.close(sock)
 
     def check_response(self, trace: str, query: SentQuery, response: bytes | None) -> None:
@@ -177,10 +177,12 @@
     def drain(self, watch: socket.socket) -> Coroutine:
         """Every 60 ms an upstream starts to drain, or comes back if it drains already."""
         for seq in range(2, 30):
-            yield Wait(until=self.loop.clock() + 60 * MS)
-            number = seq % len(self.harness.ears)
+            yield Wait(deadline=self.loop.clock() + 60 * MS)
+            number = seq % len(self.harness.upstream_listeners)
             was_draining = self.draining_since.pop(number, None) is not None
-            line: dict[str, Any] = host(f"s-{number}", self.harness.dials[number], site="ab"[number % 2])
+            line: dict[str, Any] = list_line(
+                f"s-{number}", self.harness.upstream_addresses[number], site="ab"[number % 2]
+            )
             if not was_draining:
                 line["health"] = "DRAINING"
                 self.draining_since[number] = self.loop.clock()
@@ -190,7 +192,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_rules_hold_among_odd_upstreams_and_odd_clients(seed: int) -> None:
-    with Desk(upstreams=5) as harness:
+    with SidecarHarness(upstreams=5) as harness:
         watch = harness.accept_from(harness.discovery)
         harness.read(watch)
         watch.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -199,8 +201,8 @@
             harness.node.loop.spawn(world.upstream(number))
         harness.node.loop.spawn(world.drain(watch))
         clients = [harness.node.loop.spawn(world.client(f"c{n}")) for n in range(12)]
-        harness.turn(lambda: all(task.over for task in clients), within=30)
+        harness.run_until(lambda: all(task.finished for task in clients), within=30)
         assert not world.violations
         assert {200, 502, 503} <= set(world.statuses) and world.statuses[200] > 20
-        decisions = harness.node.decisions
-        harness.turn(lambda: not decisions.held and not decisions.out)
+        decisions = harness.node.driver
+        harness.run_until(lambda: not decisions.held and not decisions.pending)
