--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -20,11 +20,11 @@
 from maddercart import interface as i
 from maddercart.net.loop import Coroutine, Loop, Wait
 from maddercart.sidecar.applications import EVICTABLE_AFTER_NS, PHASE_TIMEOUTS_NS, Phase
-from maddercart.sidecar.clock import Clock
-from maddercart.sidecar.endings import OUTCOMES, Ending, ending_of_status
-from maddercart.sidecar.start_times import StartTimes, reference
-from maddercart.sidecar.upstreams import number_of
-from tests.helpers import MS, Desk, answer, config, host, request
+from maddercart.sidecar.clock import MonotonicClock
+from maddercart.sidecar.endings import OUTCOME_BY_ENDING, Ending, ending_of_status
+from maddercart.sidecar.start_times import StartTimes, reference_stamp_ms
+from maddercart.sidecar.upstreams import upstream_number
+from tests.helpers import MS, SidecarHarness, http_response, list_line, request, sidecar_config
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 
@@ -35,7 +35,7 @@
     sock.close()
 
 
-def watched(harness: Desk) -> socket.socket:
+def accept_watch(harness: SidecarHarness) -> socket.socket:
     """Accepts the sidecar's watch of the list and answers it with the response headers."""
     sock = harness.accept_from(harness.discovery)
     assert harness.read(sock).startswith(b"GET /api/targets?watch=1&after=1 HTTP/1.1\r\n")
@@ -43,7 +43,7 @@
     return sock
 
 
-def tell(sock: socket.socket, line: str) -> None:
+def send_list_line(sock: socket.socket, line: str) -> None:
     """Sends one line on a watch, as a chunk."""
     sock.sendall(b"%x\r\n%s\n\r\n" % (len(line) + 1, line.encode()))
 
@@ -52,8 +52,8 @@
 
 
 def test_every_ending_maps_to_an_outcome_and_only_unsent_or_turned_away_queries_never_ran() -> None:
-    assert set(OUTCOMES) == set(Ending)
-    never = {ending for ending, outcome in OUTCOMES.items() if outcome in i.NEVER_RAN}
+    assert set(OUTCOME_BY_ENDING) == set(Ending)
+    never = {ending for ending, outcome in OUTCOME_BY_ENDING.items() if outcome in i.NEVER_RAN}
     assert never == {
         Ending.NO_ADDRESS, Ending.NO_DESCRIPTOR, Ending.WITHDRAWN, Ending.REFUSED, Ending.NEVER_CAME_UP,
         Ending.BROKE_UNWRITTEN, Ending.TIME_UP_UNWRITTEN, Ending.TURNED_AWAY,
@@ -67,9 +67,9 @@
 
 
 UPSTREAM_ACTIONS: dict[str, Callable[[socket.socket], None]] = {
-    "answered": lambda sock: sock.sendall(answer()),
-    "turned_away": lambda sock: sock.sendall(answer(503, more="X-Never-Ran: 1\r\n")),
-    "failed": lambda sock: sock.sendall(answer(503)),
+    "answered": lambda sock: sock.sendall(http_response()),
+    "turned_away": lambda sock: sock.sendall(http_response(503, extra_headers="X-Never-Ran: 1\r\n")),
+    "failed": lambda sock: sock.sendall(http_response(503)),
     "malformed": lambda sock: sock.sendall(b"no answer at all\r\n\r\n"),
     "broke_written": reset,
     "time_up": lambda sock: None,
@@ -79,28 +79,28 @@
 @pytest.mark.parametrize("ending", UPSTREAM_ACTIONS)
 def test_reply_and_ending_after_a_labelled_query_was_written(ending: str) -> None:
     """With a single upstream: where the query may have run, the client must not be told to retry."""
-    with Desk() as harness:
-        client = harness.ask("post", body="abc", trace="t1")
+    with SidecarHarness() as harness:
+        client = harness.send_request("post", body="abc", trace="t1")
         upstream = harness.accept()
         got = harness.read(upstream, b"abc")
         assert got.startswith(b"POST /post?sid=7 HTTP/1.1\r\n") and b"X-Trace-Id: t1\r\n" in got
         UPSTREAM_ACTIONS[ending](upstream)
-        status = harness.reply(client)
+        status = harness.response_status(client)
         assert status == {"answered": 200, "turned_away": 503}.get(ending, 502)
-        assert harness.node.decisions.counts[ending] == 1 and not harness.node.decisions.out
+        assert harness.node.driver.counts[ending] == 1 and not harness.node.driver.pending
         if ending != "turned_away" and ending != "answered" and ending != "failed":
-            assert harness.node.pool.count == 0, "the connection is closed"
+            assert harness.node.pool.connection_count == 0, "the connection is closed"
 
 
 def test_answer_bodies_are_limited_by_memory_only() -> None:
     """Answers of 400 KB over a fixed limit were treated as malformed, and so each upstream as failing."""
-    with Desk() as harness:
-        client, body = harness.ask("post"), "x" * 400_000
+    with SidecarHarness() as harness:
+        client, body = harness.send_request("post"), "x" * 400_000
         upstream = harness.accept()
 
         def send_answer() -> None:
             with suppress(OSError):
-                upstream.sendall(answer(body=body + "end"))
+                upstream.sendall(http_response(body=body + "end"))
 
         for max_body_bytes, status in ((harness.node.dispatcher.max_body_bytes, b"200"), (100_000, b"502")):
             harness.node.dispatcher.max_body_bytes = max_body_bytes
@@ -115,20 +115,20 @@
 
 
 def test_a_connection_closed_within_an_answer_ends_as_broke_written() -> None:
-    with Desk() as harness:
-        client = harness.ask("post")
+    with SidecarHarness() as harness:
+        client = harness.send_request("post")
         upstream = harness.accept()
         harness.read(upstream)
         upstream.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
         upstream.close()
-        assert harness.reply(client) == 502 and harness.node.decisions.counts["broke_written"] == 1
+        assert harness.response_status(client) == 502 and harness.node.driver.counts["broke_written"] == 1
 
 
 def test_a_refused_connection_bounces_the_query() -> None:
-    with Desk() as harness:
-        harness.ears[0].close()
-        assert harness.reply(harness.ask("post")) == 503
-        assert harness.node.decisions.counts["refused"] == 1
+    with SidecarHarness() as harness:
+        harness.upstream_listeners[0].close()
+        assert harness.response_status(harness.send_request("post")) == 503
+        assert harness.node.driver.counts["refused"] == 1
 
 
 @pytest.mark.parametrize(("expires", "within"), [("900m", 100), ("200m", 2000)])
@@ -141,23 +141,23 @@
         for sock in fillers:  # with a full backlog no further connection comes up
             sock.setblocking(False)
             sock.connect_ex(full_listener.getsockname())
-        with Desk(hosts=[host("s-0", at)]) as harness:
-            harness.node.decisions.dispatcher.connect_timeout = within * MS
+        with SidecarHarness(hosts=[list_line("s-0", at)]) as harness:
+            harness.node.driver.dispatcher.connect_timeout_ns = within * MS
             began = time.monotonic()
-            assert harness.reply(harness.ask("post", expires=expires)) == 503
-            assert time.monotonic() - began < 0.8 and harness.node.decisions.counts["never_came_up"] == 1
+            assert harness.response_status(harness.send_request("post", expires=expires)) == 503
+            assert time.monotonic() - began < 0.8 and harness.node.driver.counts["never_came_up"] == 1
         for sock in fillers:
             sock.close()
 
 
 def test_a_query_that_was_not_written_whole_is_bounced() -> None:
-    with Desk() as harness:
-        harness.ears[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+    with SidecarHarness() as harness:
+        harness.upstream_listeners[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         body = "x" * 65_000
-        many = [harness.ask("post", body=body, expires="300m") for _ in range(2)]
+        many = [harness.send_request("post", body=body, expires="300m") for _ in range(2)]
         for client in many:
-            assert harness.reply(client) in (502, 503)
-        counts = harness.node.decisions.counts
+            assert harness.response_status(client) in (502, 503)
+        counts = harness.node.driver.counts
         assert counts["time_up"] + counts["time_up_unwritten"] == 2
         assert counts["bounced"] == counts["time_up_unwritten"]
 
@@ -166,91 +166,92 @@
 
 
 def test_a_connection_is_reused_and_dropped_once_the_upstream_closes_it() -> None:
-    with Desk() as harness:
-        client = harness.ask()
+    with SidecarHarness() as harness:
+        client = harness.send_request()
         upstream = harness.accept()
         for _ in range(3):
             harness.read(upstream)
-            upstream.sendall(answer())
-            assert harness.reply(client) == 200
+            upstream.sendall(http_response())
+            assert harness.response_status(client) == 200
             client.sendall(request())
-        assert harness.node.pool.count == 1
+        assert harness.node.pool.connection_count == 1
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200
         upstream.close()
-        harness.turn(lambda: harness.node.pool.count == 0)
+        harness.run_until(lambda: harness.node.pool.connection_count == 0)
         client.sendall(request())
         harness.read(again := harness.accept())
-        again.sendall(answer())
-        assert harness.reply(client) == 200 and harness.node.decisions.counts["answered"] == 5
+        again.sendall(http_response())
+        assert harness.response_status(client) == 200 and harness.node.driver.counts["answered"] == 5
 
 
 def test_a_reused_connection_that_breaks_does_not_count_against_its_upstream() -> None:
     """With one query in ten on such a connection, half of all upstreams were ejected at any time."""
-    with Desk() as harness:
-        client = harness.ask("post")
-        counts, health = harness.node.decisions.counts, harness.node.decisions.balancer.health
+    with SidecarHarness() as harness:
+        client = harness.send_request("post")
+        counts, health = harness.node.driver.counts, harness.node.driver.balancer.health
         for end in range(1, 5):
             harness.read(upstream := harness.accept())
-            upstream.sendall(answer())
-            assert harness.reply(client) == 200
+            upstream.sendall(http_response())
+            assert harness.response_status(client) == 200
             client.sendall(request("post"))
             harness.read(upstream)
             reset(upstream)
-            assert harness.reply(client) == 502 and counts["broke_kept"] == end, "it may have run"
+            assert harness.response_status(client) == 502 and counts["broke_kept"] == end, "it may have run"
             client.sendall(request("post"))
         assert not health.ejected
         harness.read(upstream := harness.accept())
         reset(upstream)
-        assert harness.reply(client) == 502 and counts["broke_written"] == 1, (
+        assert harness.response_status(client) == 502 and counts["broke_written"] == 1, (
             "a new connection that breaks is a reset"
         )
 
 
 def test_an_idle_connection_with_an_unread_end_is_not_reused() -> None:
     """A query written to it would end as a reset, and might have run."""
-    with Desk() as harness:
-        client = harness.ask()
+    with SidecarHarness() as harness:
+        client = harness.send_request()
         upstream = harness.accept()
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200
         upstream.close()
-        number = number_of("s-0")
+        number = upstream_number("s-0")
         connection = harness.node.pool.idle[number][0]
         assert (
-            harness.node.pool.take_idle(number, connection.address) is None and harness.node.pool.count == 0
+            harness.node.pool.take_idle(number, connection.address) is None
+            and harness.node.pool.connection_count == 0
         )
 
 
 def test_idle_connections_are_closed_after_the_idle_timeout() -> None:
-    with Desk() as harness:
+    with SidecarHarness() as harness:
         harness.node.pool.idle_timeout = 50 * MS
-        client = harness.ask()
+        client = harness.send_request()
         upstream = harness.accept()
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200 and harness.node.pool.count == 1
-        assert harness.read(upstream) == b"" and harness.node.pool.count == 0
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200 and harness.node.pool.connection_count == 1
+        assert harness.read(upstream) == b"" and harness.node.pool.connection_count == 0
 
 
 def test_exhausted_descriptors_close_idle_connections_first_and_eject_no_upstream() -> None:
-    with Desk(upstreams=2) as harness:
+    with SidecarHarness(upstreams=2) as harness:
         pool = harness.node.pool
         pool.max_connections = 1
-        first, decisions = harness.ask("post", expires="900m"), harness.node.decisions
-        harness.turn(lambda: decisions.out)
+        first, decisions = harness.send_request("post", expires="900m"), harness.node.driver
+        harness.run_until(lambda: decisions.pending)
         for _ in range(6):
-            assert harness.reply(harness.ask("post")) == 503
+            assert harness.response_status(harness.send_request("post")) == 503
         assert decisions.counts["no_descriptor"] > 6 and not decisions.balancer.health.ejected
-        (out,) = decisions.out.values()
+        (out,) = decisions.pending.values()
         upstream = harness.accept(["s-0", "s-1"].index(harness.node.upstreams.names[out.upstream]))
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(first) == 200 and pool.count == 1
+        upstream.sendall(http_response())
+        assert harness.response_status(first) == 200 and pool.connection_count == 1
         connection = pool.open(1, ("127.0.0.1", 1))
-        assert connection is not None and pool.count == 1 and harness.read(upstream) == b"", (
+        assert connection is not None and pool.connection_count == 1 and harness.read(upstream) == b"", (
             "the idle connection was closed"
         )
         pool.close(connection)
@@ -260,105 +261,109 @@
 
 
 def test_a_client_that_disconnects_ends_its_query_and_its_dispatch() -> None:
-    with Desk() as harness:
-        client = harness.ask()
+    with SidecarHarness() as harness:
+        client = harness.send_request()
         upstream = harness.accept()
         harness.read(upstream)
         client.close()
         assert harness.read(upstream) == b"", "the dispatch was cancelled by closing its connection"
-        decisions = harness.node.decisions
-        assert not decisions.held and not decisions.out and decisions.counts["left"] == 1
+        decisions = harness.node.driver
+        assert not decisions.held and not decisions.pending and decisions.counts["left"] == 1
 
 
 def test_an_incomplete_request_is_not_taken() -> None:
-    with Desk() as harness:
+    with SidecarHarness() as harness:
         client = harness.client()
         client.sendall(request("post", body="abc")[:-1])
-        harness.turn(
-            lambda: any(connection.protocol.begun for connection in harness.node.applications.connections)
+        harness.run_until(
+            lambda: any(
+                connection.protocol.request_started for connection in harness.node.applications.connections
+            )
         )
         client.close()
-        harness.turn(lambda: not harness.node.applications.connections)
-        assert not harness.node.decisions.taken
+        harness.run_until(lambda: not harness.node.applications.connections)
+        assert not harness.node.driver.query_count
 
 
 def test_a_request_that_arrives_byte_by_byte_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """If each byte restarted the timeout, a descriptor would be held for good."""
     monkeypatch.setitem(PHASE_TIMEOUTS_NS, Phase.NEW, 60 * MS)
-    with Desk() as harness:
+    with SidecarHarness() as harness:
         client = harness.client()
         client.sendall(request()[:20])
-        harness.turn(lambda: harness.node.applications.connections)
+        harness.run_until(lambda: harness.node.applications.connections)
 
         def send_byte_until_closed() -> bool:
             with suppress(OSError):
                 client.sendall(b"x")
             return not harness.node.applications.connections
 
-        harness.turn(send_byte_until_closed)
+        harness.run_until(send_byte_until_closed)
 
 
 def test_a_client_reset_while_its_query_is_held_does_not_affect_others() -> None:
-    with Desk() as harness:
-        client, other = harness.ask(), harness.ask()
+    with SidecarHarness() as harness:
+        client, other = harness.send_request(), harness.send_request()
         upstreams = [harness.accept(), harness.accept()]
         reset(client)
         for upstream in upstreams:
             harness.read(upstream)
-            upstream.sendall(answer()) if upstream.fileno() >= 0 else None
-        assert harness.reply(other) == 200 and not harness.node.decisions.held
+            upstream.sendall(http_response()) if upstream.fileno() >= 0 else None
+        assert harness.response_status(other) == 200 and not harness.node.driver.held
 
 
 def test_pipelined_requests_are_taken_and_answered_one_by_one() -> None:
-    with Desk() as harness:
+    with SidecarHarness() as harness:
         client = harness.client()
         client.sendall(request() + request() + request())
         upstream = harness.accept()
         for _ in range(3):
             harness.read(upstream)
-            assert len(harness.node.decisions.held) == 1
-            upstream.sendall(answer())
-            assert harness.reply(client) == 200
+            assert len(harness.node.driver.held) == 1
+            upstream.sendall(http_response())
+            assert harness.response_status(client) == 200
 
 
 def test_invalid_requests_get_4xx_and_are_never_bounced() -> None:
-    with Desk() as harness:
+    with SidecarHarness() as harness:
         client = harness.client()
         client.sendall(b"\x00\x01 nothing\r\n\r\n")
-        assert harness.reply(client) == 400 and harness.read(client) == b""
+        assert harness.response_status(client) == 400 and harness.read(client) == b""
         client = harness.client()
         client.sendall(request().replace(b"/look", b"/other"))
-        assert harness.reply(client) == 404
+        assert harness.response_status(client) == 404
         client.sendall(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert harness.reply(client) == 200, "the connection stays open"
-        assert not harness.node.decisions.taken
+        assert harness.response_status(client) == 200, "the connection stays open"
+        assert not harness.node.driver.query_count
 
 
 def test_the_readiness_path_answers_200_once_an_upstream_is_ready() -> None:
-    with Desk(hosts=[]) as harness:
+    with SidecarHarness(hosts=[]) as harness:
         client = harness.client()
         client.sendall(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert harness.reply(client) == 503
-        tell(watched(harness), json.dumps({"seq": 2, "whole": False, "hosts": [host()]}))
-        harness.turn(lambda: harness.node.upstreams.ready)
+        assert harness.response_status(client) == 503
+        send_list_line(accept_watch(harness), json.dumps({"seq": 2, "whole": False, "hosts": [list_line()]}))
+        harness.run_until(lambda: harness.node.upstreams.ready)
         client.sendall(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert harness.reply(client) == 200
+        assert harness.response_status(client) == 200
 
 
 def test_silent_connections_and_partial_requests_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """Silent connections without a limit held their slots for good."""
     monkeypatch.setitem(PHASE_TIMEOUTS_NS, Phase.NEW, 60 * MS)
     monkeypatch.setitem(PHASE_TIMEOUTS_NS, Phase.PART, 60 * MS)
-    with Desk() as harness:
+    with SidecarHarness() as harness:
         silent, half = harness.client(), harness.client()
         half.sendall(request()[:20])
-        assert harness.read(silent) == b"" and harness.reply(half) == 408 and harness.read(half) == b""
-        client = harness.ask()
+        assert (
+            harness.read(silent) == b"" and harness.response_status(half) == 408 and harness.read(half) == b""
+        )
+        client = harness.send_request()
         harness.read(upstream := harness.accept())
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200
         client.sendall(request()[:20])
-        assert harness.reply(client) == 408 and not harness.node.decisions.counts["aborted"]
+        assert harness.response_status(client) == 408 and not harness.node.driver.counts["aborted"]
 
 
 @pytest.mark.parametrize("phase", EVICTABLE_AFTER_NS)
@@ -368,79 +373,80 @@
     """Clients that ask once and keep their connection held all slots."""
     monkeypatch.setitem(EVICTABLE_AFTER_NS, phase, 100 * MS)
     sent = {Phase.NEW: b"", Phase.PART: request()[:20], Phase.IDLE: READY, Phase.REFUSED: b"\x00\r\n\r\n"}
-    monkeypatch.setattr("maddercart.sidecar.applications.Applications.is_crowded", lambda _: False)
-    with Desk() as harness:
-        harness.node.applications.most = 2
+    monkeypatch.setattr("maddercart.sidecar.applications.ApplicationServer.is_crowded", lambda _: False)
+    with SidecarHarness() as harness:
+        harness.node.applications.max_connections = 2
         held = [harness.client(), harness.client()]
         for client in held:
             client.sendall(sent[phase])
-        harness.turn(lambda: len(harness.node.applications.phases[phase]) == 2)
+        harness.run_until(lambda: len(harness.node.applications.phases[phase]) == 2)
         third = harness.client()
         third.sendall(READY)
         began = time.monotonic()
-        assert harness.reply(third) == 200 and 0.05 < time.monotonic() - began < 0.4
+        assert harness.response_status(third) == 200 and 0.05 < time.monotonic() - began < 0.4
         assert (
-            len(harness.node.applications.connections) == 2
-            and harness.node.decisions.counts["crowded_out"] == 1
+            len(harness.node.applications.connections) == 2 and harness.node.driver.counts["crowded_out"] == 1
         )
 
 
 def test_a_connection_that_awaits_its_answer_is_not_evicted() -> None:
-    with Desk() as harness:
-        harness.node.applications.most = 1
-        client = harness.ask()
+    with SidecarHarness() as harness:
+        harness.node.applications.max_connections = 1
+        client = harness.send_request()
         upstream = harness.accept()
         other = harness.client()
         other.sendall(READY)
-        harness.turn_for(0.2)
+        harness.run_for(0.2)
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200
         client.close()
-        assert harness.reply(other) == 200
+        assert harness.response_status(other) == 200
 
 
 def test_a_trace_id_is_refused_while_a_query_with_it_is_held() -> None:
-    with Desk() as harness:
-        client = harness.ask("post", trace="t7")
+    with SidecarHarness() as harness:
+        client = harness.send_request("post", trace="t7")
         harness.read(upstream := harness.accept())
-        assert harness.reply(harness.ask(trace="t7")) == 409
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200 and harness.node.decisions.taken == 1
+        assert harness.response_status(harness.send_request(trace="t7")) == 409
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200 and harness.node.driver.query_count == 1
         client.sendall(request(trace="t7"))
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200, "the id is free once its query is answered"
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200, "the id is free once its query is answered"
 
 
 def test_a_bounce_carries_retry_after() -> None:
-    with Desk(hosts=[]) as harness:
-        assert b"Retry-After: 0.0" in harness.read(harness.ask())
+    with SidecarHarness(hosts=[]) as harness:
+        assert b"Retry-After: 0.0" in harness.read(harness.send_request())
 
 
 def test_an_answer_is_passed_on_with_its_end_to_end_headers_only() -> None:
     """Without its Content-Encoding a body would be misread."""
-    with Desk() as harness:
-        client = harness.ask()
+    with SidecarHarness() as harness:
+        client = harness.send_request()
         harness.read(upstream := harness.accept())
-        upstream.sendall(answer(more="Content-Encoding: br\r\nKeep-Alive: timeout=9\r\nX-Never-Ran: 0\r\n"))
+        upstream.sendall(
+            http_response(extra_headers="Content-Encoding: br\r\nKeep-Alive: timeout=9\r\nX-Never-Ran: 0\r\n")
+        )
         got = harness.read(client)
         assert got.startswith(b"HTTP/1.1 200 OK\r\nContent-Encoding: br\r\n")
         assert got.endswith(b"\r\n\r\nwell") and got.count(b"\r\n") == 4
 
 
 def test_a_client_that_reads_slowly_does_not_delay_others() -> None:
-    with Desk() as harness:
+    with SidecarHarness() as harness:
         slow = harness.client()
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
         slow.sendall(request())
         upstream = harness.accept()
         harness.read(upstream)
-        upstream.sendall(answer(body="x" * 65_000))
-        client = harness.ask()
+        upstream.sendall(http_response(body="x" * 65_000))
+        client = harness.send_request()
         harness.read(again := harness.accept() if not harness.node.pool.idle else upstream)
-        again.sendall(answer())
-        assert harness.reply(client) == 200
+        again.sendall(http_response())
+        assert harness.response_status(client) == 200
 
 
 # -- discovery
@@ -448,56 +454,58 @@
 
 def test_updates_from_discovery_apply_before_queries_of_the_same_loop_turn() -> None:
     """A drain counts as told once discovery has written it: new queries may follow only for a short grace."""
-    with Desk(upstreams=2) as harness:
-        watch = watched(harness)
+    with SidecarHarness(upstreams=2) as harness:
+        watch = accept_watch(harness)
         client = harness.client()
-        harness.turn(lambda: harness.node.applications.connections)
-        draining = [host(f"s-{n}", dial, health="DRAINING") for n, dial in enumerate(harness.dials)]
+        harness.run_until(lambda: harness.node.applications.connections)
+        draining = [
+            list_line(f"s-{n}", dial, health="DRAINING") for n, dial in enumerate(harness.upstream_addresses)
+        ]
         client.sendall(request())
-        tell(watch, json.dumps({"seq": 2, "whole": False, "hosts": draining}))
-        assert harness.reply(client) == 503 and not harness.node.decisions.counts["answered"]
-        assert not harness.node.pool.count
+        send_list_line(watch, json.dumps({"seq": 2, "whole": False, "hosts": draining}))
+        assert harness.response_status(client) == 503 and not harness.node.driver.counts["answered"]
+        assert not harness.node.pool.connection_count
 
 
 def test_a_deleted_upstream_keeps_no_idle_connection() -> None:
-    with Desk() as harness:
-        watch = watched(harness)
-        client = harness.ask()
+    with SidecarHarness() as harness:
+        watch = accept_watch(harness)
+        client = harness.send_request()
         upstream = harness.accept()
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200 and harness.node.pool.count == 1
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200 and harness.node.pool.connection_count == 1
         client.sendall(request())
         harness.read(upstream)
-        tell(watch, json.dumps({"seq": 2, "hosts": [host("s-0", health="DELETED")]}))
-        harness.turn(lambda: not harness.node.upstreams.ready)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200, "a dispatch that was sent may end"
-        assert harness.node.pool.count == 0
+        send_list_line(watch, json.dumps({"seq": 2, "hosts": [list_line("s-0", health="DELETED")]}))
+        harness.run_until(lambda: not harness.node.upstreams.ready)
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200, "a dispatch that was sent may end"
+        assert harness.node.pool.connection_count == 0
 
 
 @pytest.mark.parametrize("line", ["no JSON", '{"seq":0,"hosts":[]}', '{"seq":"x","hosts":[]}', "[]"])
 def test_after_an_unusable_line_the_whole_list_is_requested(line: str) -> None:
-    with Desk() as harness:
-        watch = watched(harness)
+    with SidecarHarness() as harness:
+        watch = accept_watch(harness)
         watch.sendall(b"1\r\n\n\r\n")
-        tell(watch, line)
+        send_list_line(watch, line)
         assert harness.read(watch) == b""
         again = harness.accept_from(harness.discovery)
         assert harness.read(again).startswith(b"GET /api/targets HTTP/1.1\r\n")
-        again.sendall(answer(body=json.dumps({"seq": 9, "whole": True, "hosts": [host("s-9")]})))
+        again.sendall(http_response(body=json.dumps({"seq": 9, "whole": True, "hosts": [list_line("s-9")]})))
         assert b"after=9" in harness.read(again)
-        assert harness.node.upstreams.ready == {number_of("s-9")}
+        assert harness.node.upstreams.ready == {upstream_number("s-9")}
 
 
 def test_a_watch_that_breaks_or_falls_silent_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("maddercart.sidecar.discovery.SILENCE", 50 * MS)
-    with Desk() as harness:
-        first = watched(harness)
-        tell(first, '{"seq":1,"hosts":[]}')
+    monkeypatch.setattr("maddercart.sidecar.discovery.WATCH_SILENCE_TIMEOUT_NS", 50 * MS)
+    with SidecarHarness() as harness:
+        first = accept_watch(harness)
+        send_list_line(first, '{"seq":1,"hosts":[]}')
         assert harness.read(first) == b"", "the silent watch is closed"
         harness.accept_from(harness.discovery).close()
-        watched(harness)
+        accept_watch(harness)
 
 
 @pytest.mark.parametrize("fault", [OSError("no descriptor is left"), RuntimeError("a fault of ours")])
@@ -505,41 +513,48 @@
     """If it counted as open, the list would never be requested again."""
     faults = [fault]
 
-    with Desk() as harness:
-        opened = harness.node.loop.machine.tcp
+    with SidecarHarness() as harness:
+        opened = harness.node.loop.system_calls.tcp
 
         def tcp() -> socket.socket:
             if faults:
                 raise faults.pop()
             return opened()
 
-        monkeypatch.setattr(harness.node.loop.machine, "tcp", tcp)
-        watched(harness)
+        monkeypatch.setattr(harness.node.loop.system_calls, "tcp", tcp)
+        accept_watch(harness)
         assert not faults
 
 
 def test_a_reload_switches_to_another_discovery_service_without_losing_the_list_or_a_query() -> None:
     """The old service ends its watches soon after; the known list stays in use until the new one sends its
     own."""
-    with Desk() as harness:
-        old, client = watched(harness), harness.ask()
+    with SidecarHarness() as harness:
+        old, client = accept_watch(harness), harness.send_request()
         harness.read(upstream := harness.accept())
         other = socket.create_server(("127.0.0.1", 0))
-        harness.opened.append(other)
+        harness.open_sockets.append(other)
         harness.config |= {"discovery": "{}:{}".format(*other.getsockname()), "limits": {"sockets": 80}}
-        harness.node.renew()
+        harness.node.reload()
         new = harness.accept_from(other)
         assert harness.read(new).startswith(b"GET /api/targets HTTP/1.1\r\n")
-        assert harness.node.upstreams.ready == {number_of("s-0")} and harness.node.pool.max_connections == 24
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200
-        whole = {"seq": 1, "whole": True, "hosts": [host("s-0", harness.dials[0]), host("s-9")]}
-        new.sendall(answer(body=json.dumps(whole)))
+        assert (
+            harness.node.upstreams.ready == {upstream_number("s-0")}
+            and harness.node.pool.max_connections == 24
+        )
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200
+        whole = {
+            "seq": 1,
+            "whole": True,
+            "hosts": [list_line("s-0", harness.upstream_addresses[0]), list_line("s-9")],
+        }
+        new.sendall(http_response(body=json.dumps(whole)))
         assert b"watch=1&after=1 " in harness.read(new)
         assert harness.read(old) == b"", "the old watch is closed once the new service has sent a list"
-        assert harness.node.upstreams.ready == {number_of("s-0"), number_of("s-9")}
-        harness.node.renew()
-        harness.turn_for(0.05)
+        assert harness.node.upstreams.ready == {upstream_number("s-0"), upstream_number("s-9")}
+        harness.node.reload()
+        harness.run_for(0.05)
         assert harness.node.discovery.following and not select.select([other, new], [], [], 0)[0], "no change"
 
 
@@ -547,44 +562,44 @@
 def test_an_unusable_new_configuration_is_logged_once_and_the_old_one_stays(
     more: dict[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    with Desk() as harness:
-        watched(harness)
+    with SidecarHarness() as harness:
+        accept_watch(harness)
         harness.config |= more
-        harness.node.renew()
+        harness.node.reload()
         assert [record.message for record in caplog.records] == ["new configuration rejected"]
-        client = harness.ask()
+        client = harness.send_request()
         harness.read(upstream := harness.accept())
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200 and harness.node.discovery.following
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200 and harness.node.discovery.following
 
 
 # -- the loop and the clock
 
 
 def test_a_timer_of_an_earlier_wait_does_not_end_a_later_one() -> None:
-    loop, seen = Loop(Clock()), []
+    loop, seen = Loop(MonotonicClock()), []
     near, far = socket.socketpair()
 
     def waiter() -> Coroutine:
         seen.append((yield Wait(near.fileno(), 1, loop.clock() + 20 * MS)))
-        seen.append((yield Wait(until=loop.clock() + 40 * MS)))
+        seen.append((yield Wait(deadline=loop.clock() + 40 * MS)))
         loop.stopped = True
 
     def failing() -> Coroutine:
-        yield Wait(until=loop.clock())
+        yield Wait(deadline=loop.clock())
         raise RuntimeError("a failing coroutine must not end the others")
 
     def failing_timer() -> None:
         raise RuntimeError("nor may a failing timer")
 
     loop.spawn(failing())
-    loop.at(loop.clock(), failing_timer)
+    loop.call_at(loop.clock(), failing_timer)
     task = loop.spawn(waiter())
     far.send(b"x")
     began = time.monotonic()
     loop.run()
-    assert seen == [1, 0] and task.over and 0.035 < time.monotonic() - began < 1
-    loop.forget(near.fileno())
+    assert seen == [1, 0] and task.finished and 0.035 < time.monotonic() - began < 1
+    loop.unregister(near.fileno())
     near.close()
     far.close()
     loop.epoll.close()
@@ -592,15 +607,15 @@
 
 def test_timers_of_waits_that_ended_early_do_not_accumulate() -> None:
     """One timer was kept for each query for as long as an idle connection may last."""
-    loop = Loop(Clock())
+    loop = Loop(MonotonicClock())
 
     def waiter() -> Coroutine:
-        yield Wait(until=loop.clock() + 60 * i.SECOND)
+        yield Wait(deadline=loop.clock() + 60 * i.SECOND)
 
     for _ in range(10):
         for task in [loop.spawn(waiter()) for _ in range(1000)]:
-            loop.end(task)
-        assert len(loop.timers) <= loop.SPARE + 1
+            loop.close(task)
+        assert len(loop.timers) <= loop.MIN_CLEANUP_TIMERS + 1
     near, far = socket.socketpair()
 
     def reader() -> Coroutine:
@@ -609,13 +624,13 @@
         assert (yield Wait(near.fileno(), 1, loop.clock() + 20 * MS)) == 0
         loop.stopped = True
 
-    loop.clear()
+    loop.remove_ended_timers()
     task = loop.spawn(reader())
     for _ in range(5000):
         loop.resume(task, -1)
     assert len(loop.timers) == 2, "a later deadline needs no timer of its own"
     loop.run()
-    assert task.over
+    assert task.finished
     near.close()
     far.close()
     loop.epoll.close()
@@ -624,11 +639,11 @@
 def test_a_late_loop_turn_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     """Without the line, slow answers would be attributed to upstreams."""
     loop = Loop(lambda: 100 * MS)
-    loop.at(80 * MS, lambda: None)
-    loop.turn()
+    loop.call_at(80 * MS, lambda: None)
+    loop.run_once()
     assert not caplog.records
-    loop.at(10 * MS, lambda: None)
-    loop.turn()
+    loop.call_at(10 * MS, lambda: None)
+    loop.run_once()
     assert [record.message for record in caplog.records] == ["stood still"]
     loop.epoll.close()
 
@@ -637,10 +652,10 @@
 def test_the_clock_advances_with_real_time_while_the_wall_clock_steps(
     step: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock = Clock()
+    clock = MonotonicClock()
     before, wall = clock(), time.time_ns()
     monkeypatch.setattr(time, "time_ns", lambda: wall + step * i.SECOND)
-    assert 0 <= clock() - before < i.SECOND and 0 <= Clock()() - before < i.SECOND
+    assert 0 <= clock() - before < i.SECOND and 0 <= MonotonicClock()() - before < i.SECOND
 
 
 def test_a_start_stamp_always_gives_the_same_instant_and_a_different_stamp_is_a_restart() -> None:
@@ -648,21 +663,21 @@
     from a clock that was set back, is a restart too."""
     now = 100 * i.SECOND
     starts = StartTimes(lambda: now)
-    first = starts.listed(1, 1_700_000_000_000, 0)
+    first = starts.record_stamp(1, 1_700_000_000_000, 0)
     now += i.SECOND
-    assert starts.listed(1, 1_700_000_000_000, 0) == first == 100 * i.SECOND
-    assert starts.listed(1, 1_699_996_400_000, 0) == now
-    assert starts.listed(1, 0, 0) == 0, "long ago"
+    assert starts.record_stamp(1, 1_700_000_000_000, 0) == first == 100 * i.SECOND
+    assert starts.record_stamp(1, 1_699_996_400_000, 0) == now
+    assert starts.record_stamp(1, 0, 0) == 0, "long ago"
 
 
 def test_start_ages_are_relative_to_the_second_newest_stamp() -> None:
     """A single host whose clock is ahead must not make other upstreams seem old."""
     now, stamp = 100 * i.SECOND, 1_700_000_000_000
     stamps = {1: stamp, 2: stamp + 3_000, 3: stamp + 9_000, 4: stamp + 3_600_000}
-    starts, passed = StartTimes(lambda: now), reference(stamps.values())
-    instants = [starts.listed(number, told, passed) // i.SECOND for number, told in stamps.items()]
+    starts, passed = StartTimes(lambda: now), reference_stamp_ms(stamps.values())
+    instants = [starts.record_stamp(number, told, passed) // i.SECOND for number, told in stamps.items()]
     assert instants == [91, 94, 100, 100]
-    assert reference([stamp]) == 0 and reference([]) == 0
+    assert reference_stamp_ms([stamp]) == 0 and reference_stamp_ms([]) == 0
 
 
 # -- the process
@@ -677,7 +692,9 @@
         self.requests: list[bytes] = []  # as the upstream received them
         threading.Thread(target=self.serve, daemon=True).start()
         self.file = folder / "config.json"
-        self.file.write_bytes(config([host("s-0", "{}:{}".format(*self.upstream_listener.getsockname()))]))
+        self.file.write_bytes(
+            sidecar_config([list_line("s-0", "{}:{}".format(*self.upstream_listener.getsockname()))])
+        )
         command = [sys.executable, "-m", "maddercart", "serve", "--config", str(self.file)]
         self.process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
         line = self.line("msg=serving")
@@ -698,7 +715,7 @@
         while b"\r\n\r\n" in (received := sock.recv(65536)):
             self.requests.append(received)
             time.sleep(self.delay)
-            sock.sendall(answer())
+            sock.sendall(http_response())
 
     def client(self) -> socket.socket:
         return socket.create_connection(self.address, timeout=5)
@@ -780,9 +797,9 @@
 
 def test_a_connection_is_closed_after_its_answer_while_slots_are_scarce_and_many_are_idle() -> None:
     """Clients that asked once and kept their connection held all slots, for two seconds each."""
-    with Desk(limits={"sockets": 50, "memory_mb": 192}) as harness:  # nine application connections
+    with SidecarHarness(limits={"sockets": 50, "memory_mb": 192}) as harness:  # nine application connections
         silent = [harness.client() for _ in range(2)]
-        harness.turn(lambda: len(harness.node.applications.connections) == len(silent))
+        harness.run_until(lambda: len(harness.node.applications.connections) == len(silent))
         for closes in (False, False, False, True, True):
             client = harness.client()
             client.sendall(READY)
@@ -790,7 +807,7 @@
             assert not closes or harness.read(client) == b"", "the connection is closed"
         for client in silent:
             client.close()
-        harness.turn(lambda: len(harness.node.applications.connections) == 3)
+        harness.run_until(lambda: len(harness.node.applications.connections) == 3)
         client.close()
         last = harness.client()
         last.sendall(READY)
@@ -852,27 +869,28 @@
 
 def test_a_query_held_during_a_switch_is_repeated_in_the_same_deduplication_group() -> None:
     """The switch renumbers zones: by the former number the repeat would go to the other zone."""
-    with Desk(upstreams=4) as harness:
-        watched(harness)
-        client = harness.ask("post")
+    with SidecarHarness(upstreams=4) as harness:
+        accept_watch(harness)
+        client = harness.send_request("post")
         listener = next(
-            listener for listener in harness.turn(lambda: select.select(harness.ears, [], [], 0)[0])
+            listener
+            for listener in harness.run_until(lambda: select.select(harness.upstream_listeners, [], [], 0)[0])
         )
-        first_index = harness.ears.index(listener)
+        first_index = harness.upstream_listeners.index(listener)
         harness.read(first := harness.accept_from(listener))
         harness.config = {
             **harness.config,
-            "settings": json.loads(with_switched_settings(config([])))["settings"],
+            "settings": json.loads(with_switched_settings(sidecar_config([])))["settings"],
         }
-        harness.node.renew()
+        harness.node.reload()
         reset(first)
-        others = harness.turn(lambda: select.select(harness.ears, [], [], 0)[0])
-        assert [harness.ears.index(other) % 2 for other in others] == [first_index % 2] and others != [
-            listener
-        ]
+        others = harness.run_until(lambda: select.select(harness.upstream_listeners, [], [], 0)[0])
+        assert [harness.upstream_listeners.index(other) % 2 for other in others] == [
+            first_index % 2
+        ] and others != [listener]
         harness.read(second := harness.accept_from(others[0]))
-        second.sendall(answer())
-        assert harness.reply(client) == 200
+        second.sendall(http_response())
+        assert harness.response_status(client) == 200
 
 
 @pytest.mark.parametrize(
@@ -885,14 +903,16 @@
 def test_unusable_settings_are_logged_once_and_all_former_settings_stay(
     more: dict[str, object], named_in_reason: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    with Desk() as harness:
-        sock, before = watched(harness), harness.node.discovery.at
-        harness.config |= {"settings": json.loads(with_switched_settings(config([]), **more))["settings"]}
+    with SidecarHarness() as harness:
+        sock, before = accept_watch(harness), harness.node.discovery.address
+        harness.config |= {
+            "settings": json.loads(with_switched_settings(sidecar_config([]), **more))["settings"]
+        }
         harness.config |= {"discovery": "127.0.0.1:9"}
-        harness.node.renew()
+        harness.node.reload()
         assert [record.message for record in caplog.records] == ["new configuration rejected"]
         assert named_in_reason in str(vars(caplog.records[0])["reason"])
-        assert harness.node.discovery.at == before and "extra" not in harness.node.front.offerings
+        assert harness.node.discovery.address == before and "extra" not in harness.node.handler.offerings
         assert not select.select([sock], [], [], 0)[0], "the watch stays open"
 
 
@@ -919,8 +939,9 @@
 
 
 @pytest.mark.parametrize(
-    "text", [None, b"", b"{}", b"no JSON", config([]).replace(b'"guarded"', b'"perhaps"'),
-             config([]).replace(b'"8c1f"', b'"no number"'), config([]).replace(b"127.0.0.1:0", b"nowhere")]
+    "text", [None, b"", b"{}", b"no JSON", sidecar_config([]).replace(b'"guarded"', b'"perhaps"'),
+             sidecar_config([]).replace(b'"8c1f"', b'"no number"'),
+             sidecar_config([]).replace(b"127.0.0.1:0", b"nowhere")]
 )  # fmt: skip
 def test_an_unusable_configuration_at_start_is_one_log_line_and_exit_code_2(
     text: bytes | None, tmp_path: Path
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -1,6 +1,6 @@
 """When changes of the upstream list count as told, and that no query is written to an upstream against them.
 
-These are single cases on sockets; `test_told_plays.py` runs generated deployments.
+These are single cases on sockets; `test_generated_deployments.py` runs generated deployments.
 """
 
 import json
@@ -18,9 +18,17 @@
 from maddercart.net import sockets
 from maddercart.net.loop import Wait
 from maddercart.sidecar import dispatches
-from maddercart.sidecar.upstreams import number_of
-from tests.helpers import Desk, Host, answer, config, entry, host, offering
-from tests.test_sidecar import tell, watched
+from maddercart.sidecar.upstreams import upstream_number
+from tests.helpers import (
+    BalancerHarness,
+    SidecarHarness,
+    entry,
+    http_response,
+    list_line,
+    offering,
+    sidecar_config,
+)
+from tests.test_sidecar import accept_watch, send_list_line
 
 
 class SlowConnect:
@@ -36,7 +44,7 @@
         self.attempts += 1
         connected = yield from sockets.connect(loop, sock, address, deadline)
         while self.held:
-            yield Wait(until=loop.clock() + MS)
+            yield Wait(deadline=loop.clock() + MS)
         return connected
 
 
@@ -45,20 +53,20 @@
     return SlowConnect(monkeypatch)
 
 
-def changes(harness: Desk, seq: int, *names: str, **more: Any) -> str:
+def changes(harness: SidecarHarness, seq: int, *names: str, **more: Any) -> str:
     """Discovery's changes at version `seq` for some of the harness's upstreams, as JSON."""
-    lines = [host(name, harness.dials[int(name[2:])], **more) for name in names]
+    lines = [list_line(name, harness.upstream_addresses[int(name[2:])], **more) for name in names]
     return json.dumps({"seq": seq, "whole": False, "hosts": lines})
 
 
-def received_nothing(harness: Desk, upstream: int) -> bool:
+def received_nothing(harness: SidecarHarness, upstream: int) -> bool:
     """Whether no byte was written to an upstream, even if a connection came up."""
-    harness.ears[upstream].setblocking(False)
+    harness.upstream_listeners[upstream].setblocking(False)
     try:
-        sock, _ = harness.ears[upstream].accept()
+        sock, _ = harness.upstream_listeners[upstream].accept()
     except BlockingIOError:
         return True
-    harness.opened.append(sock)
+    harness.open_sockets.append(sock)
     sock.setblocking(False)
     try:
         return not sock.recv(1)
@@ -75,85 +83,89 @@
 ) -> None:
     """The first byte was written up to the connect timeout of 250 ms after the upstream was chosen, past a
     grace of 50 ms. The query never ran there, so that one of any effect may go elsewhere."""
-    with Desk(upstreams=2) as harness:
-        watch, client = watched(harness), harness.ask(offering)
-        harness.node.dispatcher.connect_timeout = SECOND
-        harness.turn(lambda: slow_connect.attempts)
-        (out,) = harness.node.decisions.out.values()
+    with SidecarHarness(upstreams=2) as harness:
+        watch, client = accept_watch(harness), harness.send_request(offering)
+        harness.node.dispatcher.connect_timeout_ns = SECOND
+        harness.run_until(lambda: slow_connect.attempts)
+        (out,) = harness.node.driver.pending.values()
         first = int(harness.node.upstreams.names[out.upstream][2:])
         removed = {
             "moved": {"dial": "127.0.0.1:1"}, "unreadable": {"health": "LEAVING"},
         }.get(removal, {"health": removal})  # fmt: skip
-        line = host(f"s-{first}", harness.dials[first]) | removed
-        tell(watch, json.dumps({"seq": 2, "whole": False, "hosts": [line]}))
-        harness.turn(lambda: harness.node.decisions.counts["withdrawn"])
+        line = list_line(f"s-{first}", harness.upstream_addresses[first]) | removed
+        send_list_line(watch, json.dumps({"seq": 2, "whole": False, "hosts": [line]}))
+        harness.run_until(lambda: harness.node.driver.counts["withdrawn"])
         slow_connect.held = False
         second = harness.accept(1 - first)
         assert b"X-Trace-Id" in harness.read(second)
-        second.sendall(answer())
-        assert harness.reply(client) == 200 and received_nothing(harness, first)
+        second.sendall(http_response())
+        assert harness.response_status(client) == 200 and received_nothing(harness, first)
 
 
 def test_a_drain_that_discovery_has_written_counts_before_it_is_read(
     slow_connect: SlowConnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """In a long turn of the loop, on a busy core, the last check for unread data of discovery may be old."""
-    monkeypatch.setattr(dispatches.Dispatcher, "LOOKED", -1)
+    monkeypatch.setattr(dispatches.Dispatcher, "MAX_POLL_AGE_NS", -1)
     slow_connect.held = False
-    with Desk() as harness:
-        watch = watched(harness)
+    with SidecarHarness() as harness:
+        watch = accept_watch(harness)
         results: list[bool] = []
-        has_unread_data = harness.node.dispatcher.news
+        has_unread_data = harness.node.dispatcher.has_unread_updates
 
         def drain_then_check() -> bool:
             if not results:
-                tell(watch, changes(harness, 2, "s-0", health="DRAINING"))
+                send_list_line(watch, changes(harness, 2, "s-0", health="DRAINING"))
                 time.sleep(0.01)
             results.append(has_unread_data())
             return results[-1]
 
-        harness.node.dispatcher.news = drain_then_check
-        assert harness.reply(harness.ask()) == 503 and results[0] and received_nothing(harness, 0)
+        harness.node.dispatcher.has_unread_updates = drain_then_check
+        assert (
+            harness.response_status(harness.send_request()) == 503
+            and results[0]
+            and received_nothing(harness, 0)
+        )
 
 
 def test_all_changes_of_one_read_are_applied_before_a_decision(slow_connect: SlowConnect) -> None:
     """A drain and the change that opens its successor came in one read; a held query was decided by the drain
     alone."""
-    with Desk(upstreams=2) as harness:
-        watch = watched(harness)
-        tell(watch, changes(harness, 2, "s-1", health="DELETED"))
-        harness.turn(lambda: len(harness.node.upstreams.ready) == 1)
-        client = harness.ask()
-        harness.turn(lambda: slow_connect.attempts)
+    with SidecarHarness(upstreams=2) as harness:
+        watch = accept_watch(harness)
+        send_list_line(watch, changes(harness, 2, "s-1", health="DELETED"))
+        harness.run_until(lambda: len(harness.node.upstreams.ready) == 1)
+        client = harness.send_request()
+        harness.run_until(lambda: slow_connect.attempts)
         slow_connect.held = False
         both = changes(harness, 3, "s-0", health="DRAINING") + "\n" + changes(harness, 4, "s-1")
-        tell(watch, both)
+        send_list_line(watch, both)
         second = harness.accept(1)
         harness.read(second)
-        second.sendall(answer())
-        assert harness.reply(client) == 200 and received_nothing(harness, 0)
+        second.sendall(http_response())
+        assert harness.response_status(client) == 200 and received_nothing(harness, 0)
 
 
 def test_peers_reports_are_taken_back_in_one_step_with_discoverys_list(slow_connect: SlowConnect) -> None:
     """Taken back in a step of its own, they let held queries be sent by the older list."""
-    with Desk(upstreams=2) as harness:
-        watch = watched(harness)
-        known = harness.node.upstreams.entries[number_of("s-0")]
-        harness.node.backing.hear([known._replace(condition=2)])
+    with SidecarHarness(upstreams=2) as harness:
+        watch = accept_watch(harness)
+        known = harness.node.upstreams.entries[upstream_number("s-0")]
+        harness.node.upstream_pool.apply_peer_entries([known._replace(condition=2)])
         assert not harness.node.upstreams.may_send(known.upstream, ("127.0.0.1", 1))
         out_counts: list[int] = []
-        learn = harness.node.decisions.balancer.learn
+        learn = harness.node.driver.balancer.update_list
 
         def recording_learn(now: int, entries: Any, whole: bool) -> None:
             learn(now, entries, whole)
-            out_counts.append(len(harness.node.decisions.out))
+            out_counts.append(len(harness.node.driver.pending))
 
-        harness.node.decisions.balancer.learn = recording_learn  # type: ignore[method-assign]
+        harness.node.driver.balancer.update_list = recording_learn  # type: ignore[method-assign]
         learns_seen: list[int] = []
-        settle = harness.node.decisions.settle
-        harness.node.decisions.settle = lambda: (learns_seen.append(len(out_counts)), settle())[1]  # type: ignore[method-assign]
-        tell(watch, changes(harness, 2, "s-0", health="DRAINING"))
-        harness.turn(lambda: len(out_counts) == 2)
+        settle = harness.node.driver.pull_decisions
+        harness.node.driver.pull_decisions = lambda: (learns_seen.append(len(out_counts)), settle())[1]  # type: ignore[method-assign]
+        send_list_line(watch, changes(harness, 2, "s-0", health="DRAINING"))
+        harness.run_until(lambda: len(out_counts) == 2)
         assert 1 not in learns_seen and 2 in learns_seen
 
 
@@ -161,59 +173,62 @@
     """Changes missed on a watch count as told 6 s after its last line; 5 s of silence and 3 s for a call
     exceeded that."""
     from maddercart.policy.balancer import Balancer
-    from maddercart.sidecar.discovery import ANSWER_TIMEOUT_NS, SILENCE
+    from maddercart.sidecar.discovery import ANSWER_TIMEOUT_NS, WATCH_SILENCE_TIMEOUT_NS
 
-    pause = int(1.5 * Balancer.FOLLOW_FIRST)
-    assert 2 * SECOND < SILENCE and SILENCE + pause + ANSWER_TIMEOUT_NS < 6 * SECOND
+    pause = int(1.5 * Balancer.FOLLOW_MIN_NS)
+    assert (
+        2 * SECOND < WATCH_SILENCE_TIMEOUT_NS
+        and WATCH_SILENCE_TIMEOUT_NS + pause + ANSWER_TIMEOUT_NS < 6 * SECOND
+    )
 
 
 def test_a_list_that_never_ends_is_abandoned_though_data_still_arrives(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("maddercart.sidecar.discovery.LIST_TIMEOUT_NS", 100 * MS)
-    with Desk() as harness:
-        watch = watched(harness)
+    with SidecarHarness() as harness:
+        watch = accept_watch(harness)
         watch.sendall(b"8\r\n" + b'{"seq":2' + b"\r\n")
-        harness.turn_for(0.05)
+        harness.run_for(0.05)
         watch.sendall(b"1\r\n,\r\n")
         assert harness.read(watch) == b"", "the watch is abandoned although data arrived"
         assert harness.accept_from(harness.discovery)
 
 
-def move_discovery(harness: Desk) -> socket.socket:
+def move_discovery(harness: SidecarHarness) -> socket.socket:
     """Reloads the configuration with another discovery service, and returns its listening socket."""
     other = socket.create_server(("127.0.0.1", 0))
-    harness.opened.append(other)
+    harness.open_sockets.append(other)
     harness.config |= {"discovery": "{}:{}".format(*other.getsockname())}
-    harness.node.renew()
+    harness.node.reload()
     return other
 
 
 def test_the_previous_watch_counts_until_the_new_service_has_sent_its_list() -> None:
     """It was closed first, and for up to 3 s nothing was received from either service."""
-    with Desk(upstreams=2) as harness:
-        old = watched(harness)
+    with SidecarHarness(upstreams=2) as harness:
+        old = accept_watch(harness)
         other = move_discovery(harness)
         new = harness.accept_from(other)
         harness.read(new)
-        tell(old, changes(harness, 2, "s-0", health="DRAINING"))
-        harness.turn(lambda: number_of("s-0") not in harness.node.upstreams.ready)
+        send_list_line(old, changes(harness, 2, "s-0", health="DRAINING"))
+        harness.run_until(lambda: upstream_number("s-0") not in harness.node.upstreams.ready)
         new.close()
         again = harness.accept_from(other)
         assert harness.read(again).startswith(b"GET /api/targets HTTP"), "the whole list is requested again"
-        whole = {"seq": 9, "whole": True, "hosts": [host("s-1", harness.dials[1])]}
-        again.sendall(answer(body=json.dumps(whole, indent=1)))
+        whole = {"seq": 9, "whole": True, "hosts": [list_line("s-1", harness.upstream_addresses[1])]}
+        again.sendall(http_response(body=json.dumps(whole, indent=1)))
         assert b"after=9 " in harness.read(again) and harness.read(old) == b""
-        assert harness.node.upstreams.ready == {number_of("s-1")}
+        assert harness.node.upstreams.ready == {upstream_number("s-1")}
 
 
 def test_a_previous_watch_that_ends_during_a_move_is_not_reopened() -> None:
-    with Desk() as harness:
-        old = watched(harness)
+    with SidecarHarness() as harness:
+        old = accept_watch(harness)
         other = move_discovery(harness)
         new = harness.accept_from(other)
         old.close()
-        harness.turn(lambda: harness.node.discovery.previous is None)
+        harness.run_until(lambda: harness.node.discovery.previous is None)
         assert harness.node.discovery.following and harness.node.discovery.current is not None
         new.close()
         assert harness.accept_from(other), "the new service is called again"
@@ -223,88 +238,94 @@
 
 
 def push_configuration(**more: Any) -> dict[str, Any]:
-    settings = json.loads(config([]))["settings"]
+    settings = json.loads(sidecar_config([]))["settings"]
     return {"settings": settings | {"discovery": "push"} | more}
 
 
 def test_with_pushed_lists_nothing_is_sent_before_the_first_list() -> None:
     """All that the agent has counts as told from the start; a new process used the list it last knew."""
-    with Desk(upstreams=2, **push_configuration()) as harness:
-        assert not harness.node.backing.ready()
-        client = harness.ask()
-        watch = watched(harness)
-        tell(watch, changes(harness, 2, "s-0", health="DRAINING"))
+    with SidecarHarness(upstreams=2, **push_configuration()) as harness:
+        assert not harness.node.upstream_pool.is_ready()
+        client = harness.send_request()
+        watch = accept_watch(harness)
+        send_list_line(watch, changes(harness, 2, "s-0", health="DRAINING"))
         second = harness.accept(1)
         harness.read(second)
-        second.sendall(answer())
-        assert harness.reply(client) == 200 and received_nothing(harness, 0) and harness.node.backing.ready()
+        second.sendall(http_response())
+        assert (
+            harness.response_status(client) == 200
+            and received_nothing(harness, 0)
+            and harness.node.upstream_pool.is_ready()
+        )
 
 
 def test_with_pushed_lists_and_no_discovery_queries_bounce_until_the_known_list_is_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A sidecar must be ready within 30 s of its start even if discovery is down."""
-    monkeypatch.setattr("maddercart.sidecar.node.WITHOUT_WORD", SECOND // 2)
-    with Desk(**push_configuration()) as harness:
+    monkeypatch.setattr("maddercart.sidecar.node.KNOWN_LIST_FALLBACK_NS", SECOND // 2)
+    with SidecarHarness(**push_configuration()) as harness:
         harness.discovery.close()
-        assert harness.reply(harness.ask()) == 503 and received_nothing(harness, 0)
-        harness.turn(harness.node.backing.ready)
-        client = harness.ask()
+        assert harness.response_status(harness.send_request()) == 503 and received_nothing(harness, 0)
+        harness.run_until(harness.node.upstream_pool.is_ready)
+        client = harness.send_request()
         upstream = harness.accept()
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200
 
 
 def test_1200_upstreams_can_be_replaced_at_once_and_all_be_reported_to_peers() -> None:
     """All of 1,200 are replaced at once, twice, and those that left can still be reported to peers."""
-    from maddercart.messages.words import tells
+    from maddercart.messages.words import encode_tells
 
-    with Desk() as harness:
+    with SidecarHarness() as harness:
         upstreams = harness.node.upstreams
         for seq in range(2, 5):
-            hosts = [host(f"h{seq}-{n}", f"127.0.0.1:{n + 1}") for n in range(1200)]
-            harness.node.backing.learn([Listing(seq, hosts, whole=True)])
+            hosts = [list_line(f"h{seq}-{n}", f"127.0.0.1:{n + 1}") for n in range(1200)]
+            harness.node.upstream_pool.apply_listings([Listing(seq, hosts, whole=True)])
             assert len(upstreams.ready) == 1200
             assert len(upstreams.changed_after(seq - 1)) >= (1200 if seq == 2 else 2400)
-        assert len(harness.node.decisions.balancer.roster.by_id) == 1200
-        assert len(list(tells(4, 0, [record_of(*change) for change in upstreams.changed_after(3)]))) > 100
+        assert len(harness.node.driver.balancer.registry.by_id) == 1200
+        assert (
+            len(list(encode_tells(4, 0, [record_of(*change) for change in upstreams.changed_after(3)]))) > 100
+        )
 
 
 def record_of(number: int, condition: int, stamp_ms: int) -> Any:
-    from maddercart.messages.words import Word, key_of
+    from maddercart.messages.words import UpstreamState, short_key
 
-    return Word(key_of(number), condition, stamp_ms)
+    return UpstreamState(short_key(number), condition, stamp_ms)
 
 
 Respond = Callable[[socket.socket], None]
 
 
 @pytest.mark.parametrize("respond", [
-    lambda sock: sock.sendall(answer(503)), lambda sock: None, lambda sock: sock.close(),
+    lambda sock: sock.sendall(http_response(503)), lambda sock: None, lambda sock: sock.close(),
     lambda sock: sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"seq":2,'),
-    lambda sock: sock.sendall(answer(body='{"seq":2,"hosts":"none"}')),
+    lambda sock: sock.sendall(http_response(body='{"seq":2,"hosts":"none"}')),
 ])  # fmt: skip
 def test_when_discovery_fails_the_known_list_is_used_and_discovery_is_called_again(
     respond: Respond, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("maddercart.sidecar.discovery.SILENCE", 100 * MS)
-    with Desk() as harness:
+    monkeypatch.setattr("maddercart.sidecar.discovery.WATCH_SILENCE_TIMEOUT_NS", 100 * MS)
+    with SidecarHarness() as harness:
         harness.node.discovery.answer_timeout = 100 * MS
-        client = harness.ask()
+        client = harness.send_request()
         sock = harness.accept_from(harness.discovery)
         harness.read(sock)
         respond(sock)
         upstream = harness.accept()
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200
         assert harness.accept_from(harness.discovery)
 
 
 def test_retries_come_sooner_as_the_time_nears_when_missed_changes_count() -> None:
     """After three failures the next call came 5.7 s later, past the 6 s after which missed changes count."""
-    balancer = Host([entry(1)]).balancer
+    balancer = BalancerHarness([entry(1)]).balancer
     now, due, pauses = 100 * SECOND, 106 * SECOND, []
     while now < due:
         balancer.list_failed(now, due - now)
@@ -319,49 +340,55 @@
 
 
 def test_a_labelled_repeat_checks_its_window_again_before_the_first_byte() -> None:
-    driver = Host([entry(1), entry(2)], offerings=[offering(i.LABELLED)])
+    driver = BalancerHarness([entry(1), entry(2)], offerings=[offering(i.LABELLED)])
     driver.take()
     driver.now += SECOND // 2
-    driver.end(1, 0, i.RESET)
-    assert driver.balancer.may_begin(driver.now, 1) and len(driver.out) == 1
+    driver.end_dispatch(1, 0, i.RESET)
+    assert driver.balancer.may_write(driver.now, 1) and len(driver.outstanding) == 1
     driver.now += SECOND // 2
-    assert not driver.balancer.may_begin(driver.now, 1), "its window is over, and it may have run"
-    decisions = driver.end(1, 1, i.MOOT)
+    assert not driver.balancer.may_write(driver.now, 1), "its window is over, and it may have run"
+    decisions = driver.end_dispatch(1, 1, i.NOT_WRITTEN)
     assert decisions[0][0] == "bounce", "upstreams drop its repeats everywhere"
 
 
 @pytest.mark.parametrize(
     ("lines", "ready"),
     [
-        ([host("s-0", "127.0.0.1:9"), host("s-1", "127.0.0.1:9")], {"s-0", "s-1"}),  # two at the same address
-        ([host("s-0", "nowhere"), host("s-1", "localhost:80")], set()),  # invalid addresses
-        ([host("s-0", health="SERVING"), host("s-0", health="DRAINING")], {"s-1"}),  # the last line counts
-        ([host("s-0", born_ms="x"), host("s-1", site="nowhere")], set()),
+        # two at the same address
+        ([list_line("s-0", "127.0.0.1:9"), list_line("s-1", "127.0.0.1:9")], {"s-0", "s-1"}),
+        ([list_line("s-0", "nowhere"), list_line("s-1", "localhost:80")], set()),  # invalid addresses
+        # the last line counts
+        ([list_line("s-0", health="SERVING"), list_line("s-0", health="DRAINING")], {"s-1"}),
+        ([list_line("s-0", born_ms="x"), list_line("s-1", site="nowhere")], set()),
         ([7, None, {}, {"host": 3}, {"host": "s-9", "health": "SERVING"}], {"s-0", "s-1"}),
     ],
 )
 def test_invalid_lines_open_nothing_and_affect_no_other_line(lines: list[Any], ready: set[str]) -> None:
-    with Desk(upstreams=2) as harness:
-        watch = watched(harness)
-        tell(watch, json.dumps({"seq": 2, "whole": False, "hosts": lines}))
-        harness.turn(lambda: harness.node.upstreams.version == 2)
-        assert harness.node.upstreams.ready == {number_of(name) for name in ready}
-        known = harness.node.decisions.balancer.roster.by_id.items()
+    with SidecarHarness(upstreams=2) as harness:
+        watch = accept_watch(harness)
+        send_list_line(watch, json.dumps({"seq": 2, "whole": False, "hosts": lines}))
+        harness.run_until(lambda: harness.node.upstreams.version == 2)
+        assert harness.node.upstreams.ready == {upstream_number(name) for name in ready}
+        known = harness.node.driver.balancer.registry.by_id.items()
         assert {
             number for number, upstream in known if upstream.entry.condition == i.READY
         } == harness.node.upstreams.ready
 
 
-@pytest.mark.parametrize("known", [[], [host("s-7", "127.0.0.1:1"), host("s-8", "127.0.0.1:1")]])
+@pytest.mark.parametrize("known", [[], [list_line("s-7", "127.0.0.1:1"), list_line("s-8", "127.0.0.1:1")]])
 def test_an_empty_or_outdated_known_list_is_corrected_by_the_first_change(known: list[Any]) -> None:
-    with Desk() as harness:
-        harness.node.backing.learn([Listing(1, known, whole=True)])
-        watch = watched(harness)
-        lines = [host("s-7", health="DELETED"), host("s-8", health="DELETED"), host("s-0", harness.dials[0])]
-        tell(watch, json.dumps({"seq": 2, "whole": False, "hosts": lines}))
-        harness.turn(lambda: harness.node.upstreams.ready == {number_of("s-0")})
-        client = harness.ask()
+    with SidecarHarness() as harness:
+        harness.node.upstream_pool.apply_listings([Listing(1, known, whole=True)])
+        watch = accept_watch(harness)
+        lines = [
+            list_line("s-7", health="DELETED"),
+            list_line("s-8", health="DELETED"),
+            list_line("s-0", harness.upstream_addresses[0]),
+        ]
+        send_list_line(watch, json.dumps({"seq": 2, "whole": False, "hosts": lines}))
+        harness.run_until(lambda: harness.node.upstreams.ready == {upstream_number("s-0")})
+        client = harness.send_request()
         upstream = harness.accept()
         harness.read(upstream)
-        upstream.sendall(answer())
-        assert harness.reply(client) == 200
+        upstream.sendall(http_response())
+        assert harness.response_status(client) == 200
--- a/tests/test_told_plays.py
+++ b/tests/test_told_plays.py
@@ -10,22 +10,22 @@
 
 from maddercart.interface import SECOND
 from maddercart.policy.balancer import Balancer
-from maddercart.rig.plays import play
+from maddercart.rig.plays import run_play
 from maddercart.sidecar import discovery
 from maddercart.sidecar.dispatches import Dispatcher
 
 
 @pytest.mark.parametrize("first", range(0, 40, 8))
 def test_rules_hold_on_generated_deployments(first: int) -> None:
-    results = [play(seed) for seed in range(first, first + 8)]
-    assert [result for result in results if result.broken] == []
-    assert all(result.done > result.asked // 20 for result in results), (
+    results = [run_play(seed) for seed in range(first, first + 8)]
+    assert [result for result in results if result.violations] == []
+    assert all(result.succeeded > result.queries // 20 for result in results), (
         "a sidecar that rejects all queries would also break no rule"
     )
 
 
 def test_the_same_seed_gives_the_same_result() -> None:
-    assert play(5) == play(5)
+    assert run_play(5) == run_play(5)
 
 
 def test_referee_finds_queries_to_upstreams_drained_while_the_connection_came_up(
@@ -39,15 +39,15 @@
         original_init(self, pool, clock, lambda upstream, dial: True, *more)
 
     monkeypatch.setattr(Dispatcher, "__init__", init_without_check)
-    assert any("rule 3" in line for line in play(5).broken)
+    assert any("rule 3" in line for line in run_play(5).violations)
 
 
 def test_referee_finds_late_changes_with_5_s_of_silence_and_3_s_for_a_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery, "SILENCE", 5 * SECOND)
+    monkeypatch.setattr(discovery, "WATCH_SILENCE_TIMEOUT_NS", 5 * SECOND)
     monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_NS", 3 * SECOND)
-    assert any("rule 3" in line for line in play(20).broken)
+    assert any("rule 3" in line for line in run_play(20).violations)
 
 
 @pytest.mark.parametrize("seed", [64, 78])
@@ -55,5 +55,5 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A labelled query is dispatched again within its window, but the connection comes up after it."""
-    monkeypatch.setattr(Balancer, "may_begin", lambda self, now, number: True)
-    assert any("rule 2" in line for line in play(seed).broken)
+    monkeypatch.setattr(Balancer, "may_write", lambda self, now, query: True)
+    assert any("rule 2" in line for line in run_play(seed).violations)
