--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -12,7 +12,7 @@
 from statistics import median
 from typing import Any
 
-from maddercart.http.values import JsonSplitter
+from maddercart.http.json_splitter import JsonSplitter
 from maddercart.interface import SECOND, BalancerOptions, Offering, SidecarPosition, SlowStartRule
 from maddercart.messages.upstreams import decode_listing
 from maddercart.net.loop import Loop
--- a/benchmarks/reload.py
+++ b/benchmarks/reload.py
@@ -16,7 +16,7 @@
 
 from maddercart.rig.demo import free_ports, run_command, wait_until_ready
 from maddercart.rig.load import LoadShape, RequestTemplate, run_load
-from maddercart.rig.outcomes import repeated_effects
+from maddercart.rig.load_results import repeated_effects
 
 ROUTES, POOLS, RELOADS = 1000, 50, 10
 
--- a/maddercart/gateway/check.py
+++ b/maddercart/gateway/check.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 from pathlib import Path
 
-from maddercart.gateway.file import (
+from maddercart.gateway.config import (
     ConfigFileError,
     GatewayConfig,
     MembersFile,
--- a/maddercart/gateway/commands.py
+++ b/maddercart/gateway/commands.py
@@ -10,7 +10,7 @@
 from maddercart.sidecar import logs
 
 if TYPE_CHECKING:
-    from maddercart.gateway.file import GatewayConfig
+    from maddercart.gateway.config import GatewayConfig
 
 gateway = typer.Typer(help="Runs an HTTP gateway from a configuration file.", no_args_is_help=True)
 routes = typer.Typer(help="Inspects the routes of a gateway configuration.", no_args_is_help=True)
@@ -30,7 +30,7 @@
 @gateway.command()
 def serve(file: FileArgument) -> None:
     """Serves until SIGTERM; SIGHUP reloads the file, which is applied as a whole or not at all."""
-    from maddercart.gateway.file import ConfigFileError
+    from maddercart.gateway.config import ConfigFileError
     from maddercart.gateway.node import GatewayNode
 
     gateway_config = read_or_exit(file)
@@ -51,7 +51,7 @@
 def check(file: FileArgument, json: JsonOption = False) -> None:
     """Checks a configuration file and prints all its problems; exits with code 2 if there are any."""
     from maddercart.gateway.check import read_gateway
-    from maddercart.gateway.file import ConfigFileError
+    from maddercart.gateway.config import ConfigFileError
 
     try:
         gateway_config = read_gateway(file)
@@ -76,7 +76,7 @@
 def read_or_exit(file: Path) -> "GatewayConfig":
     """Reads a configuration file; prints its problems and exits with code 2 if it is unusable."""
     from maddercart.gateway.check import read_gateway
-    from maddercart.gateway.file import ConfigFileError
+    from maddercart.gateway.config import ConfigFileError
 
     try:
         return read_gateway(file)
@@ -97,7 +97,7 @@
     """Shows the route, pools and terms of a request; exits with code 1 if no route matches."""
     from maddercart.gateway.front import Routing
     from maddercart.gateway.targets import BadTarget, parse_target
-    from maddercart.http.application import Request
+    from maddercart.http.server import Request
 
     gateway_config = read_or_exit(file)
     headers = [tuple(part.strip().encode() for part in text.partition(":")[::2]) for text in header or []]
--- a/maddercart/gateway/reader.py
+++ b/maddercart/gateway/config_reader.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from maddercart.gateway.check import read_gateway
-from maddercart.gateway.file import ConfigFileError, GatewayConfig
+from maddercart.gateway.config import ConfigFileError, GatewayConfig
 from maddercart.net.loop import READ, Coroutine, Loop, Wait
 
 
--- a/maddercart/gateway/front.py
+++ b/maddercart/gateway/front.py
@@ -10,17 +10,17 @@
 from itertools import accumulate
 from random import Random
 
-from maddercart.gateway.file import Log, Route
+from maddercart.gateway.config import Log, Route
 from maddercart.gateway.limits import ConcurrencyLimiter, RateLimiter
 from maddercart.gateway.pools import ActivePool, seconds_to_ns
 from maddercart.gateway.routes import RouteLookup, RouteMatch, RouteTable
 from maddercart.gateway.targets import BadTarget, RequestTarget, parse_target
-from maddercart.http.application import Request
+from maddercart.http.server import Request
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.messages.answer import ClientResponse
 from maddercart.messages.headers import Headers, forwarded_headers
 from maddercart.messages.query import Query
-from maddercart.sidecar.fronts import AcceptedQuery, RejectedRequest
+from maddercart.messages.responses import ClientResponse
+from maddercart.sidecar.request_handlers import AcceptedQuery, RejectedRequest
 
 log = logging.getLogger(__name__)
 
--- a/maddercart/gateway/members.py
+++ b/maddercart/gateway/members.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from maddercart.gateway.check import read_members
-from maddercart.gateway.file import ConfigFileError, Pool, Server
+from maddercart.gateway.config import ConfigFileError, Pool, Server
 from maddercart.interface import MILLISECOND, SECOND
 from maddercart.messages.upstreams import Listing
 from maddercart.net.loop import Coroutine, Wait
--- a/maddercart/gateway/node.py
+++ b/maddercart/gateway/node.py
@@ -9,10 +9,10 @@
 from resource import RLIMIT_NOFILE, getrlimit
 
 from maddercart.gateway.check import read_gateway
-from maddercart.gateway.file import ConfigFileError, GatewayConfig, Listener, Route
+from maddercart.gateway.config import ConfigFileError, GatewayConfig, Listener, Route
+from maddercart.gateway.config_reader import ConfigReader
 from maddercart.gateway.front import HttpRequestHandler, Routing
 from maddercart.gateway.pools import ActivePool, seconds_to_ns
-from maddercart.gateway.reader import ConfigReader
 from maddercart.interface import SECOND
 from maddercart.net.loop import Coroutine, Loop, Wait
 from maddercart.net.sockets import listen, parse_address
--- a/maddercart/gateway/pools.py
+++ b/maddercart/gateway/pools.py
@@ -8,7 +8,7 @@
 
 from maddercart import interface as i
 from maddercart.gateway.check import read_members
-from maddercart.gateway.file import ConfigFileError, Pool, Route, Server
+from maddercart.gateway.config import ConfigFileError, Pool, Route, Server
 from maddercart.gateway.limits import AdaptiveLimiter, RetryLimiter
 from maddercart.gateway.members import MemberList, MembersFileWatcher, kind_names, zone_names
 from maddercart.messages.headers import Headers
--- a/maddercart/gateway/routes.py
+++ b/maddercart/gateway/routes.py
@@ -9,7 +9,7 @@
 from itertools import combinations
 from typing import NamedTuple
 
-from maddercart.gateway.file import Route
+from maddercart.gateway.config import Route
 
 MAX_SEGMENTS = 64  # a path with more segments matches no route
 
--- a/maddercart/http/watch.py
+++ b/maddercart/http/watch.py
@@ -5,7 +5,7 @@
 
 import h11
 
-from maddercart.http.values import JsonSplitter, JsonStreamError
+from maddercart.http.json_splitter import JsonSplitter, JsonStreamError
 
 MAX_VALUE_BYTES = 4 * 1024 * 1024  # enough for a full list of about ten thousand upstreams
 
--- a/maddercart/lab/clients.py
+++ b/maddercart/lab/clients.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from maddercart.interface import REDOABLE, SECOND
-from maddercart.lab.day import Workload
 from maddercart.lab.scenario import Scenario
 from maddercart.lab.sidecars import Query
 from maddercart.lab.streams import random_stream, uniforms
+from maddercart.lab.workload import Workload
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
--- a/maddercart/lab/meter.py
+++ b/maddercart/lab/meter.py
@@ -10,9 +10,9 @@
 from numpy.typing import NDArray
 
 from maddercart.interface import SECOND
-from maddercart.lab.day import Workload
 from maddercart.lab.scenario import Scenario
 from maddercart.lab.sidecars import Query
+from maddercart.lab.workload import Workload
 
 OUTCOMES = ("open", "done", "late", "bounce", "abort", "left", "unanswered", "lost")
 HOME_STATE = "PRIMARY"  # the failover state in which a sidecar sends its traffic to its home group
--- a/maddercart/lab/world.py
+++ b/maddercart/lab/world.py
@@ -12,10 +12,10 @@
 from typing import TYPE_CHECKING
 
 from maddercart import interface as i
-from maddercart.lab import day as days
+from maddercart.lab import workload as workloads
 from maddercart.lab.clients import Clients
+from maddercart.lab.discovery import DiscoveryService
 from maddercart.lab.engine import Engine
-from maddercart.lab.listing import DiscoveryService
 from maddercart.lab.meter import STEP_SECONDS, Meter, Result, summarize
 from maddercart.lab.network import Network
 from maddercart.lab.policies import POLICIES
@@ -64,7 +64,7 @@
         self.scenario, self.seed, self.policy_name, self.story = scenario, seed, policy, story
         self.policy_factory = policy_factory or POLICIES[policy]
         self.engine = Engine()
-        self.workload = days.generate_workload(scenario, seed)
+        self.workload = workloads.generate_workload(scenario, seed)
         self.offerings = [build_offering(terms) for terms in scenario.offerings]
         self.network = Network(scenario, seed)
         self.report_noise = lognormal_factors(random_stream(seed, "reports"), scenario.servers.report_noise)
--- a/maddercart/net/loop.py
+++ b/maddercart/net/loop.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.net.machine import SYSTEM_CALLS, SystemCalls
+from maddercart.net.system_calls import SYSTEM_CALLS, SystemCalls
 
 log = logging.getLogger(__name__)
 
--- a/maddercart/net/sockets.py
+++ b/maddercart/net/sockets.py
@@ -9,7 +9,7 @@
 from collections.abc import Generator
 
 from maddercart.net.loop import DEADLINE_PASSED, READ, WRITE, Loop, Wait
-from maddercart.net.machine import SYSTEM_CALLS, SystemCalls
+from maddercart.net.system_calls import SYSTEM_CALLS, SystemCalls
 
 # Errors of accept(2) that concern only the connection at the head of the queue; the next one may be fine.
 ACCEPT_RETRYABLE_ERRNOS = frozenset({
--- a/maddercart/policy/balancer.py
+++ b/maddercart/policy/balancer.py
@@ -26,15 +26,15 @@
     SidecarPosition,
     SlowStartRule,
 )
-from maddercart.policy.answers import LatencyStats
 from maddercart.policy.cold_budget import ColdBudget
-from maddercart.policy.group import ZoneGroup
 from maddercart.policy.health import Health
-from maddercart.policy.ledger import HeldQueries, PlacementQueue, Query
-from maddercart.policy.pick import Picker
-from maddercart.policy.roster import Registry
-from maddercart.policy.shares import Quotas
+from maddercart.policy.latency import LatencyStats
+from maddercart.policy.picker import Picker
+from maddercart.policy.queries import HeldQueries, PlacementQueue, Query
+from maddercart.policy.quotas import Quotas
+from maddercart.policy.registry import Registry
 from maddercart.policy.upstream import Upstream
+from maddercart.policy.zone_group import ZoneGroup
 
 
 class Balancer:
--- a/maddercart/policy/cold_budget.py
+++ b/maddercart/policy/cold_budget.py
@@ -1,7 +1,7 @@
 """Slow start: how much this sidecar, one of many, may send to a cold upstream."""
 
 from maddercart.interface import SidecarPosition, SlowStartRule
-from maddercart.policy.ranks import hash_pair
+from maddercart.policy.hashing import hash_pair
 from maddercart.policy.upstream import Upstream
 
 
--- a/maddercart/policy/roster.py
+++ b/maddercart/policy/registry.py
@@ -5,7 +5,7 @@
 from itertools import chain
 
 from maddercart.interface import DRAINING, GONE, READY, SECOND, ListEntry, SidecarPosition, SlowStartRule
-from maddercart.policy.ranks import hash_rank
+from maddercart.policy.hashing import hash_rank
 from maddercart.policy.upstream import Upstream
 
 
--- a/maddercart/policy/group.py
+++ b/maddercart/policy/zone_group.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from maddercart.interface import SECOND, SidecarPosition
-from maddercart.policy.ranks import hash_pair
+from maddercart.policy.hashing import hash_pair
 from maddercart.policy.upstream import Upstream
 
 PRIMARY, FAILOVER, BACKUP, RECOVERY = "PRIMARY", "FAILOVER", "BACKUP", "RECOVERY"
--- a/maddercart/rig/commands.py
+++ b/maddercart/rig/commands.py
@@ -97,7 +97,7 @@
     """Runs an open-loop load; latencies count from when a request was due. Exit code 1 if an answer was lost
     or late, or a request took effect twice."""
     from maddercart.rig.load import LoadShape, RequestTemplate
-    from maddercart.rig.outcomes import print_outcome, repeated_effects, run_processes
+    from maddercart.rig.load_results import print_outcome, repeated_effects, run_processes
 
     endpoint = loopback_address(to)
     server_endpoints = [loopback_address(text) for text in runs or []]
--- a/maddercart/rig/world.py
+++ b/maddercart/rig/fakes.py
@@ -1,6 +1,6 @@
 """Fake upstreams, discovery services and clients around a sidecar on the simulated network.
 
-They record what they see, with the time, for `referee.py` to check; they know none of the rules.
+They record what they see, with the time, for `rule_checks.py` to check; they know none of the rules.
 """
 
 import json
@@ -9,7 +9,7 @@
 from typing import Any
 
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.rig.network import Address, RemoteEnd, SimulatedNetwork
+from maddercart.rig.simulated_network import Address, RemoteEnd, SimulatedNetwork
 
 CHUNKED_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 KEEPALIVE_INTERVAL_NS = 2 * SECOND  # interval of a watch's empty lines while the list is unchanged
--- a/maddercart/rig/load.py
+++ b/maddercart/rig/load.py
@@ -12,7 +12,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from maddercart.http.upstream import ClientProtocol, MalformedResponse
+from maddercart.http.client import ClientProtocol, MalformedResponse
 from maddercart.interface import MILLISECOND, SECOND
 from maddercart.net.loop import Coroutine, Loop, Wait
 from maddercart.net.sockets import close, connect, read, write
--- a/maddercart/rig/plays.py
+++ b/maddercart/rig/plays.py
@@ -12,9 +12,7 @@
 from maddercart.interface import MILLISECOND, SECOND
 from maddercart.messages.config import Config
 from maddercart.net.loop import Loop
-from maddercart.rig.network import ONE_WAY_DELAY_NS, Address, SimulatedNetwork
-from maddercart.rig.referee import Observations, RuleSettings, SidecarLifetime, check_rules
-from maddercart.rig.world import (
+from maddercart.rig.fakes import (
     ClientQuery,
     FakeClients,
     FakeDiscovery,
@@ -22,6 +20,8 @@
     FakeUpstreams,
     ListVersion,
 )
+from maddercart.rig.rule_checks import Observations, RuleSettings, SidecarLifetime, check_rules
+from maddercart.rig.simulated_network import ONE_WAY_DELAY_NS, Address, SimulatedNetwork
 from maddercart.sidecar.configuration import parse_configuration
 from maddercart.sidecar.node import SidecarNode
 
--- a/maddercart/rig/processes/clients.py
+++ b/maddercart/rig/processes/clients.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from maddercart.rig.processes.sidecar import HARD_STOP_SECONDS, OFFERINGS, SidecarProcess
+from maddercart.rig.processes.sidecar_process import HARD_STOP_SECONDS, OFFERINGS, SidecarProcess
 
 CONNECT_WINDOW_SECONDS = 0.4  # after SIGTERM, while the listener still accepts connections
 LATE_RESPONSE_SECONDS = 0.5  # after a request's timeout: a response is late, but the request is not lost
--- a/maddercart/rig/processes/plan.py
+++ b/maddercart/rig/processes/fault_schedule.py
@@ -6,9 +6,9 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from maddercart.rig.processes.discovery import DiscoveryFault, FakeDiscoveryService
-from maddercart.rig.processes.sidecar import HARD_STOP_SECONDS, SidecarProcess
-from maddercart.rig.processes.tier import SidecarGroup
+from maddercart.rig.processes.fake_discovery import DiscoveryFault, FakeDiscoveryService
+from maddercart.rig.processes.sidecar_group import SidecarGroup
+from maddercart.rig.processes.sidecar_process import HARD_STOP_SECONDS, SidecarProcess
 
 SIGKILL_DELAY_SECONDS = HARD_STOP_SECONDS + 0.7  # after SIGTERM
 CLOCK_OFFSETS_SECONDS = (-3600.0, -5.0, -3.0, 0.0, 3.0, 20.0, 400.0, 3600.0)
--- a/maddercart/rig/processes/judge.py
+++ b/maddercart/rig/processes/rule_checker.py
@@ -7,10 +7,10 @@
 from collections import defaultdict
 
 from maddercart.rig.processes.clients import ClientRequest
-from maddercart.rig.processes.plan import ProcessRun, SoakRecord
-from maddercart.rig.processes.sidecar import STOP_SENDING_WITHIN_SECONDS
-from maddercart.rig.processes.tier import SidecarGroup
-from maddercart.rig.processes.upstreams import Attempt
+from maddercart.rig.processes.fake_upstreams import Attempt
+from maddercart.rig.processes.fault_schedule import ProcessRun, SoakRecord
+from maddercart.rig.processes.sidecar_group import SidecarGroup
+from maddercart.rig.processes.sidecar_process import STOP_SENDING_WITHIN_SECONDS
 
 # A sidecar may take 0.15 s from reading its clock to the write, and the sockets 0.05 s.
 SEND_DELAY_SECONDS = 0.15 + 0.05
--- a/maddercart/rig/processes/tier.py
+++ b/maddercart/rig/processes/sidecar_group.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from maddercart.rig.processes.clients import Client, ClientRequest
-from maddercart.rig.processes.discovery import FakeDiscoveryService, UpstreamRegistry
-from maddercart.rig.processes.peering import PeerRelay
-from maddercart.rig.processes.sidecar import SidecarProcess, format_address
-from maddercart.rig.processes.upstreams import Attempt, FakeUpstream
+from maddercart.rig.processes.fake_discovery import FakeDiscoveryService, UpstreamRegistry
+from maddercart.rig.processes.fake_upstreams import Attempt, FakeUpstream
+from maddercart.rig.processes.peer_relay import PeerRelay
+from maddercart.rig.processes.sidecar_process import SidecarProcess, format_address
 
 
 class SidecarGroup:
--- a/maddercart/rig/processes/soak.py
+++ b/maddercart/rig/processes/soak.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from maddercart.rig.processes.judge import RuleChecker
-from maddercart.rig.processes.plan import FaultSchedule, SoakRecord
-from maddercart.rig.processes.tier import SidecarGroup
+from maddercart.rig.processes.fault_schedule import FaultSchedule, SoakRecord
+from maddercart.rig.processes.rule_checker import RuleChecker
+from maddercart.rig.processes.sidecar_group import SidecarGroup
 
 SYSTEM_CALL_FAULT_SHARE = 0.01  # of the calls on sockets, in soaks with an odd seed
 
--- a/maddercart/rig/network.py
+++ b/maddercart/rig/simulated_network.py
@@ -14,7 +14,7 @@
 from typing import Any, cast
 
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.net.machine import SystemCalls
+from maddercart.net.system_calls import SystemCalls
 
 Address = tuple[str, int]
 # A Unix time, so that list entries can state when an upstream was launched.
--- a/maddercart/rig/standin.py
+++ b/maddercart/rig/standin.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from maddercart.http.application import Request, RequestError, ServerProtocol
+from maddercart.http.server import Request, RequestError, ServerProtocol
 from maddercart.interface import MILLISECOND, SECOND
 from maddercart.net.loop import READ, Coroutine, Loop, Task, Wait
 from maddercart.net.sockets import accept, close, listen, read, write
--- a/maddercart/sidecar/applications.py
+++ b/maddercart/sidecar/applications.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable, Generator
 from enum import Enum, auto
 
-from maddercart.http.application import MAX_BODY_BYTES, Request, RequestError, ServerProtocol
+from maddercart.http.server import MAX_BODY_BYTES, Request, RequestError, ServerProtocol
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.messages.answer import ClientResponse, client_error_response
+from maddercart.messages.responses import ClientResponse, client_error_response
 from maddercart.net.loop import DEADLINE_PASSED, NO_EVENTS, READ, WOKEN, Coroutine, Loop, Task, Wait
 from maddercart.net.sockets import accept, close, closed_by_peer, read, read_available, write
 from maddercart.sidecar.decisions import BalancerDriver
-from maddercart.sidecar.fronts import RejectedRequest, RequestHandler
+from maddercart.sidecar.request_handlers import RejectedRequest, RequestHandler
 
 log = logging.getLogger(__name__)
 
--- a/maddercart/sidecar/backing.py
+++ b/maddercart/sidecar/backing.py
@@ -10,10 +10,10 @@
 from maddercart.messages.upstreams import Listing
 from maddercart.net.loop import Loop
 from maddercart.policy.balancer import Balancer
+from maddercart.sidecar.connection_pool import ConnectionPool
 from maddercart.sidecar.decisions import BalancerDriver
 from maddercart.sidecar.dispatches import Dispatcher
 from maddercart.sidecar.endings import Ending, ending_of_status
-from maddercart.sidecar.pool import ConnectionPool
 from maddercart.sidecar.upstreams import Upstreams
 
 log = logging.getLogger(__name__)
--- a/maddercart/sidecar/configuration.py
+++ b/maddercart/sidecar/configuration.py
@@ -3,10 +3,10 @@
 from pathlib import Path
 from typing import Any
 
+from maddercart.balancer_settings import SettingsError, balancer_arguments, nanos
 from maddercart.interface import BalancerOptions
 from maddercart.messages.config import Config, decode_config
 from maddercart.net.sockets import parse_address
-from maddercart.translation import SettingsError, balancer_arguments, nanos
 
 
 def sidecar_balancer_arguments(config: Config) -> dict[str, Any]:
--- a/maddercart/sidecar/pool.py
+++ b/maddercart/sidecar/connection_pool.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Container
 
-from maddercart.http.upstream import ClientProtocol
+from maddercart.http.client import ClientProtocol
 from maddercart.interface import SECOND
 from maddercart.net.loop import Coroutine, Loop, Wait
 from maddercart.net.sockets import close
--- a/maddercart/sidecar/decisions.py
+++ b/maddercart/sidecar/decisions.py
@@ -9,13 +9,13 @@
 from hdrh.histogram import HdrHistogram
 
 from maddercart.interface import DONE, MILLISECOND, Decision, ListEntry
-from maddercart.messages.answer import ClientResponse, aborted_response, bounced_response, done_response
 from maddercart.messages.query import Query
+from maddercart.messages.responses import ClientResponse, aborted_response, bounced_response, done_response
 from maddercart.net.loop import RANK_SOON, Coroutine, Loop, Task, Wait
 from maddercart.policy.balancer import Balancer
+from maddercart.sidecar.connection_pool import Address
 from maddercart.sidecar.dispatches import Dispatcher, DispatchResult
 from maddercart.sidecar.endings import OUTCOME_BY_ENDING, Ending
-from maddercart.sidecar.pool import Address
 from maddercart.sidecar.upstreams import Upstreams
 
 log = logging.getLogger(__name__)
--- a/maddercart/sidecar/dispatches.py
+++ b/maddercart/sidecar/dispatches.py
@@ -3,14 +3,14 @@
 import logging
 from collections.abc import Callable, Generator
 
-from maddercart.http.upstream import MalformedResponse, Response
+from maddercart.http.client import MalformedResponse, Response
 from maddercart.interface import MILLISECOND
-from maddercart.messages.answer import UpstreamResponse, parse_response
 from maddercart.messages.query import Query
+from maddercart.messages.responses import UpstreamResponse, parse_response
 from maddercart.net.loop import Wait
 from maddercart.net.sockets import LOCAL_RESOURCE_ERRNOS, connect, read, write
+from maddercart.sidecar.connection_pool import Address, Connection, ConnectionPool
 from maddercart.sidecar.endings import Ending, ending_of_status
-from maddercart.sidecar.pool import Address, Connection, ConnectionPool
 
 log = logging.getLogger(__name__)
 
--- a/maddercart/sidecar/node.py
+++ b/maddercart/sidecar/node.py
@@ -7,6 +7,7 @@
 
 from msgspec.structs import replace
 
+from maddercart.balancer_settings import nanos
 from maddercart.interface import MILLISECOND, SECOND
 from maddercart.messages.config import Config
 from maddercart.messages.upstreams import Listing
@@ -18,12 +19,11 @@
 from maddercart.sidecar.clock import MonotonicClock
 from maddercart.sidecar.configuration import peering_enabled, sidecar_balancer_arguments
 from maddercart.sidecar.discovery import Discovery
-from maddercart.sidecar.fronts import PlatformRequestHandler
 from maddercart.sidecar.peers import Peers
+from maddercart.sidecar.request_handlers import PlatformRequestHandler
 from maddercart.sidecar.signals import install_signal_handlers
 from maddercart.sidecar.stopping import shut_down
 from maddercart.sidecar.wall_clock import WallClock
-from maddercart.translation import nanos
 
 log = logging.getLogger(__name__)
 
--- a/maddercart/sidecar/peers.py
+++ b/maddercart/sidecar/peers.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from maddercart.interface import DRAINING, GONE, READY, SECOND, ListEntry
-from maddercart.messages.words import (
+from maddercart.messages.peer_messages import (
     ASK,
     MAX_DATAGRAM_BYTES,
     Message,
--- a/maddercart/sidecar/fronts.py
+++ b/maddercart/sidecar/request_handlers.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import NamedTuple, Protocol
 
-from maddercart.http.application import Request
-from maddercart.messages.answer import ClientResponse
+from maddercart.http.server import Request
 from maddercart.messages.query import InvalidQuery, Query, parse_query
+from maddercart.messages.responses import ClientResponse
 from maddercart.sidecar.decisions import BalancerDriver
 
 READY_PATH = b"/-/ready"
--- a/maddercart/wirehost/__main__.py
+++ b/maddercart/wirehost/__main__.py
@@ -3,7 +3,7 @@
 import sys
 from typing import BinaryIO
 
-from maddercart.translation import SettingsError
+from maddercart.balancer_settings import SettingsError
 from maddercart.wirehost.host import FrameError, WireHost
 
 
--- a/maddercart/wirehost/host.py
+++ b/maddercart/wirehost/host.py
@@ -3,9 +3,9 @@
 import gc
 from typing import BinaryIO
 
+from maddercart.balancer_settings import balancer_arguments
 from maddercart.interface import DONE, SECOND, Decision, ListEntry, Report
 from maddercart.policy.balancer import Balancer
-from maddercart.translation import balancer_arguments
 from maddercart.wirehost import frames
 from maddercart.wirehost.settings import read_settings, report_order
 
--- a/maddercart/wirehost/settings.py
+++ b/maddercart/wirehost/settings.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
+from maddercart.balancer_settings import SettingsError
 from maddercart.messages.config import Settings
-from maddercart.translation import SettingsError
 
 # Indices into `Report`.
 REPORT_FIELDS = {"active": 0, "waiting": 1, "avg_ms": 2, "rps": 3}
--- a/tests/faults/test_stepped_wall_clocks.py
+++ b/tests/faults/test_stepped_wall_clocks.py
@@ -7,9 +7,9 @@
 
 from maddercart.interface import SECOND
 from maddercart.messages.upstreams import Listing
-from maddercart.rig.processes.discovery import DiscoveryFault
-from maddercart.rig.processes.sidecar import STOP_SENDING_WITHIN_SECONDS
-from maddercart.rig.processes.tier import SidecarGroup
+from maddercart.rig.processes.fake_discovery import DiscoveryFault
+from maddercart.rig.processes.sidecar_group import SidecarGroup
+from maddercart.rig.processes.sidecar_process import STOP_SENDING_WITHIN_SECONDS
 from maddercart.sidecar.upstreams import upstream_number
 from tests.helpers import MS, BalancerHarness, SidecarHarness, entry, list_line
 
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from maddercart.gateway.file import ConfigFileError
+from maddercart.gateway.config import ConfigFileError
 from maddercart.interface import SECOND
 from maddercart.rig.load import RequestTemplate
 from maddercart.rig.standin import StandInSettings, make_reply
-from tests.gateway.desk import LISTENER, GatewayHarness
+from tests.gateway.harness import LISTENER, GatewayHarness
 
 ALL = {"a-1": "a", "a-2": "a", "b-1": "b", "b-2": "b"}  # server name: zone
 PROBE = 'probe = "/-/counts"'
--- a/tests/gateway/test_parts.py
+++ b/tests/gateway/test_units.py
@@ -13,7 +13,7 @@
 
 from maddercart.cli import app
 from maddercart.gateway.check import read_gateway
-from maddercart.gateway.file import ConfigFileError, Log, Route, Target
+from maddercart.gateway.config import ConfigFileError, Log, Route, Target
 from maddercart.gateway.front import Routing
 from maddercart.gateway.limits import AdaptiveLimiter, ConcurrencyLimiter, RateLimiter, RetryLimiter
 from maddercart.gateway.reference import render_page
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -9,13 +9,13 @@
 import pytest
 
 from maddercart.interface import MILLISECOND, SECOND
-from maddercart.lab import day as days
+from maddercart.lab import workload as workloads
 from maddercart.lab.engine import Engine
 from maddercart.lab.results import confidence_interval
 from maddercart.lab.scenario import parse_scenario
 from maddercart.lab.streams import random_stream
 from maddercart.lab.world import ModelError, World
-from tests.lab.days import REDOABLE_OFFERING, scenario_tree, single_sidecar_queue, small_scenario
+from tests.lab.scenarios import REDOABLE_OFFERING, scenario_tree, single_sidecar_queue, small_scenario
 
 MEAN_WORK_MS = 10.0
 
@@ -107,25 +107,25 @@
 )
 def test_mean_arrival_rate_matches_the_flow(flow: dict, mean: float) -> None:
     rates = [
-        len(days.generate_workload(small_scenario(flows=[flow], seconds=100.0), seed)) / 100
+        len(workloads.generate_workload(small_scenario(flows=[flow], seconds=100.0), seed)) / 100
         for seed in range(8)
     ]
     assert is_close(rates, mean)
 
 
 def test_bursty_flow_is_overdispersed_and_flash_flow_reaches_its_peak() -> None:
-    bursty = days.generate_workload(
+    bursty = workloads.generate_workload(
         small_scenario(flows=[{"rate": 300.0, "kind": "bursty", "every": 1.0, "depth": 0.2}], seconds=60.0), 1
     )
     counts = np.bincount((bursty.arrival_ns // (SECOND // 4)).astype(int))
     assert counts.var() > 20 * counts.mean(), "the variance of a Poisson process equals its mean"
-    flash = days.generate_workload(
+    flash = workloads.generate_workload(
         small_scenario(flows=[{"rate": 0.0, "kind": "flash", "to": 900.0, "start": 2.0}]), 1
     )
     counts = np.bincount((flash.arrival_ns // SECOND).astype(int))
     assert counts[:2].sum() == 0 and counts[-1] < counts.max() / 5
     flow = small_scenario(flows=[{"rate": 0.0, "kind": "flash", "to": 900.0, "start": 2.0}]).flows[0]
-    assert days.intensity(flow, 12.0, random_stream(1, "x"))[1].max() == pytest.approx(900.0, rel=0.02)
+    assert workloads.intensity(flow, 12.0, random_stream(1, "x"))[1].max() == pytest.approx(900.0, rel=0.02)
 
 
 def test_work_has_the_configured_mean_and_random_streams_are_independent() -> None:
@@ -133,11 +133,11 @@
         terms = parse_scenario(
             scenario_tree(offerings=[{"name": "x", "shape": shape, "work_ms": 20.0, "spread": 1.0}]), "t"
         )
-        drawn = days.draw_work_ms(terms.offerings[0], 200_000, random_stream(3, "work"))
+        drawn = workloads.draw_work_ms(terms.offerings[0], 200_000, random_stream(3, "work"))
         assert drawn.mean() == pytest.approx(20.0, rel=0.02)
     one, two = (
-        days.generate_workload(small_scenario(), 5),
-        days.generate_workload(small_scenario(network={"jitter": 0.5}, cold={"at_start": 0.5}), 5),
+        workloads.generate_workload(small_scenario(), 5),
+        workloads.generate_workload(small_scenario(network={"jitter": 0.5}, cold={"at_start": 0.5}), 5),
     )
     assert one.digest() == two.digest(), "random draws for servers and network must not change the arrivals"
 
--- a/tests/lab/test_referee.py
+++ b/tests/lab/test_referee.py
@@ -15,7 +15,7 @@
 from maddercart.lab.referee import EffectRules, Referee
 from maddercart.lab.world import World
 from maddercart.policy.balancer import Balancer
-from tests.lab.days import IRREVERSIBLE_OFFERING, LABELLED_OFFERING, small_scenario
+from tests.lab.scenarios import IRREVERSIBLE_OFFERING, LABELLED_OFFERING, small_scenario
 
 
 class FaultyBalancer:
--- a/tests/lab/test_runs.py
+++ b/tests/lab/test_runs.py
@@ -19,7 +19,7 @@
 from maddercart.lab.policies import POLICIES
 from maddercart.lab.scenario import ScenarioError, find_contradictions, parse_scenario, read, shipped
 from maddercart.lab.world import World
-from tests.lab.days import scenario_tree, small_scenario
+from tests.lab.scenarios import scenario_tree, small_scenario
 
 TROUBLES = [
     {"kind": "zone_lost", "zone": "a", "start": 3.0, "end": 6.0},
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -5,7 +5,7 @@
 import pytest
 
 from maddercart import interface as i
-from maddercart.policy.ledger import Query
+from maddercart.policy.queries import Query
 from tests.helpers import COLD_RULE, MS, BalancerHarness, entry, offering, permits
 
 PROBING = permits(may_probe=True)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -5,14 +5,14 @@
 import pytest
 
 from maddercart import interface as i
-from maddercart.http.application import RequestError, ServerProtocol
-from maddercart.http.upstream import ClientProtocol, MalformedResponse
+from maddercart.balancer_settings import SettingsError, balancer_arguments
+from maddercart.http.client import ClientProtocol, MalformedResponse
+from maddercart.http.server import RequestError, ServerProtocol
 from maddercart.http.watch import InvalidListing, WatchError, WatchProtocol
 from maddercart.messages.query import InvalidQuery, parse_query
 from maddercart.messages.report import parse_load_report
 from maddercart.messages.upstreams import Listing
 from maddercart.sidecar.upstreams import Upstreams, upstream_number
-from maddercart.translation import SettingsError, balancer_arguments
 from maddercart.wirehost.settings import read_settings
 from tests.helpers import http_response, list_line, request
 
--- a/tests/test_told.py
+++ b/tests/test_list_changes.py
@@ -277,7 +277,7 @@
 
 def test_1200_upstreams_can_be_replaced_at_once_and_all_be_reported_to_peers() -> None:
     """All of 1,200 are replaced at once, twice, and those that left can still be reported to peers."""
-    from maddercart.messages.words import encode_tells
+    from maddercart.messages.peer_messages import encode_tells
 
     with SidecarHarness() as harness:
         upstreams = harness.node.upstreams
@@ -293,7 +293,7 @@
 
 
 def record_of(number: int, condition: int, stamp_ms: int) -> Any:
-    from maddercart.messages.words import UpstreamState, short_key
+    from maddercart.messages.peer_messages import UpstreamState, short_key
 
     return UpstreamState(short_key(number), condition, stamp_ms)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,8 +7,7 @@
 import pytest
 
 from maddercart.interface import DRAINING, GONE, READY, SECOND
-from maddercart.messages.upstreams import Listing
-from maddercart.messages.words import (
+from maddercart.messages.peer_messages import (
     ASK,
     MAX_DATAGRAM_BYTES,
     MAX_RECORDS,
@@ -19,6 +18,7 @@
     encode_tells,
     short_key,
 )
+from maddercart.messages.upstreams import Listing
 from maddercart.sidecar.upstreams import upstream_number
 from tests.helpers import SidecarHarness
 from tests.test_sidecar import accept_watch, send_list_line
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,8 +7,8 @@
 import pytest
 
 from maddercart import interface as i
+from maddercart.balancer_settings import SettingsError, balancer_arguments
 from maddercart.messages.config import Settings
-from maddercart.translation import SettingsError, balancer_arguments
 from maddercart.wirehost.settings import read_settings
 from tests.helpers import (
     BalancerHarness,
